--- a/control/backend_settle.c
+++ b/control/backend_deferred.c
@@ -17,10 +17,10 @@
  * Whether most servers of a service would be gone together with this one, of
  * those that were there when the store came back from a copy.
  */
-static bool most_missing(const struct backend_list *l, const struct listed *e)
+static bool most_removed(const struct backend_list *l, const struct listed *e)
 {
-	unsigned gone =
-		ended_servers_count(&l->ended, e->entry.service, l->copied_ms);
+	unsigned gone = ended_servers_count(&l->ended, e->entry.service,
+					    l->restored_ms);
 	unsigned all = gone, missing = gone;
 	GHashTableIter it;
 	gpointer v;
@@ -32,7 +32,7 @@
 		if (strcmp(x->entry.service, e->entry.service))
 			continue;
 		all++;
-		missing += x->missing || x == e;
+		missing += x->deferred || x == e;
 	}
 	return 2 * missing > all;
 }
@@ -45,53 +45,54 @@
 static int64_t removal_due_ms(const struct backend_list *l,
 			      const struct listed *e, int64_t now_ms)
 {
-	int64_t copied_until = l->copied_ms + BACKEND_SETTLE_MS;
+	int64_t copied_until = l->restored_ms + BACKEND_GRACE_MS;
 
-	if (now_ms < l->settle_until)
-		return l->settle_until;
-	if (l->copied_ms && now_ms < copied_until && most_missing(l, e))
+	if (now_ms < l->grace_until_ms)
+		return l->grace_until_ms;
+	if (l->restored_ms && now_ms < copied_until && most_removed(l, e))
 		return copied_until;
 	return now_ms;
 }
 
-/* backend_list_holds_back() tells whether a removal must wait, and plans it. */
-bool backend_list_holds_back(struct backend_list *l, struct listed *e,
-			     int64_t now_ms)
+/* backend_list_defer_removal() tells whether a removal must wait, and plans it. */
+bool backend_list_defer_removal(struct backend_list *l, struct listed *e,
+				int64_t now_ms)
 {
 	int64_t due_ms = removal_due_ms(l, e, now_ms);
 
 	if (due_ms <= now_ms)
 		return false;
-	e->missing = true;
+	e->deferred = true;
 	plan(l, e, due_ms);
 	return true;
 }
 
-/* backend_list_hold() gives a server the time to write its entry again. */
-void backend_list_hold(struct backend_list *l, struct listed *e, int64_t now_ms)
+/* backend_list_defer_missing() gives a server the time to write its entry again. */
+void backend_list_defer_missing(struct backend_list *l, struct listed *e,
+				int64_t now_ms)
 {
-	e->missing = true;
-	plan(l, e, now_ms + BACKEND_SETTLE_MS);
+	e->deferred = true;
+	plan(l, e, now_ms + BACKEND_GRACE_MS);
 }
 
-/* backend_list_doubt() gives a removal the time to be written again. */
-void backend_list_doubt(struct backend_list *l, struct listed *d,
-			int64_t now_ms)
+/* backend_list_add_unconfirmed() gives a removal the time to be written again. */
+void backend_list_add_unconfirmed(struct backend_list *l, struct listed *d,
+				  int64_t now_ms)
 {
 	plan(l, d,
-	     now_ms + LEASE_HEARTBEATS * l->heartbeat_ms + BACKEND_SETTLE_MS);
-	g_hash_table_replace(l->doubted, d->entry.id, d);
+	     now_ms + LEASE_HEARTBEATS * l->heartbeat_ms + BACKEND_GRACE_MS);
+	g_hash_table_replace(l->unconfirmed, d->entry.id, d);
 }
 
-/* backend_list_has_missing() tells whether a removal is held back. */
-bool backend_list_has_missing(const struct backend_list *l)
+/* backend_list_has_deferred() tells whether a removal is held back. */
+bool backend_list_has_deferred(const struct backend_list *l)
 {
 	GHashTableIter it;
 	gpointer v;
 
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		if (((const struct listed *)v)->missing)
+		if (((const struct listed *)v)->deferred)
 			return true;
 	}
 	return false;
@@ -109,13 +110,14 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct listed *e = v;
 
-		if ((e->missing || table == l->doubted) && e->due_ms <= now_ms)
+		if ((e->deferred || table == l->unconfirmed) &&
+		    e->due_ms <= now_ms)
 			g_ptr_array_add(due, v);
 	}
 	return due;
 }
 
-static void remove_missing(struct backend_list *l, int64_t now_ms)
+static void remove_due(struct backend_list *l, int64_t now_ms)
 {
 	GPtrArray *due = list_due(l, l->entries, now_ms);
 
@@ -132,9 +134,9 @@
 }
 
 /* Nobody has removed them: their servers are back. */
-static void end_doubts(struct backend_list *l, int64_t now_ms)
+static void confirm_due(struct backend_list *l, int64_t now_ms)
 {
-	GPtrArray *due = list_due(l, l->doubted, now_ms);
+	GPtrArray *due = list_due(l, l->unconfirmed, now_ms);
 
 	for (guint i = 0; i < due->len; i++) {
 		const struct listed *d = g_ptr_array_index(due, i);
@@ -149,7 +151,7 @@
 static int64_t next_due_ms(const struct backend_list *l)
 {
 	GPtrArray *all = list_due(l, l->entries, INT64_MAX);
-	GPtrArray *doubts = list_due(l, l->doubted, INT64_MAX);
+	GPtrArray *doubts = list_due(l, l->unconfirmed, INT64_MAX);
 	int64_t due_ms = 0;
 
 	g_ptr_array_extend(all, doubts, NULL, NULL);
@@ -163,12 +165,12 @@
 	return due_ms;
 }
 
-/* backend_list_settle() does what was held back and is due. */
-void backend_list_settle(struct backend_list *l, int64_t now_ms)
+/* backend_list_apply_deferred() does what was held back and is due. */
+void backend_list_apply_deferred(struct backend_list *l, int64_t now_ms)
 {
 	if (!l->due_ms || now_ms < l->due_ms)
 		return;
-	remove_missing(l, now_ms);
-	end_doubts(l, now_ms);
+	remove_due(l, now_ms);
+	confirm_due(l, now_ms);
 	l->due_ms = next_due_ms(l);
 }
--- a/control/backend_feed.c
+++ b/control/backend_feed.c
@@ -7,8 +7,8 @@
 	 * the last instance stay within 1.4 s.
 	 */
 	READ_MS = 450,
-	TAKE_OVER_MS = 700, /* without news the next in line reads */
-	RANK_STEP_MS = 50,  /* so that they don't all read at once */
+	TAKEOVER_MS = 700, /* without news the next in line reads */
+	RANK_STEP_MS = 50, /* so that they don't all read at once */
 	RANK_MAX = 12,
 	RETRY_MS = 200, /* after a failure, doubled up to the longest */
 	RETRY_MAX_MS = 1000,
@@ -17,7 +17,7 @@
 	 * find out that the store is back and feed them. One that hears of no
 	 * feed must know within 3 s what the store says.
 	 */
-	RETRY_PATIENT_MS = 2800,
+	RETRY_BEHIND_HUBS_MS = 2800,
 };
 
 /* What the feed doesn't name is in the new era as it was. */
@@ -27,7 +27,7 @@
 	GHashTableIter it;
 	gpointer v;
 
-	l->listed =
+	l->listing_end =
 		store_position_cmp(f->listed, f->to) > 0 ? f->listed : f->to;
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
@@ -35,8 +35,8 @@
 
 		if (e->pos.era >= era)
 			continue;
-		e->carried = true;
-		if (!e->missing)
+		e->from_old_era = true;
+		if (!e->deferred)
 			e->pos = (struct store_position){era, 0};
 	}
 }
@@ -52,15 +52,15 @@
 }
 
 /*
- * backend_list_feed() takes in what a peer read; nothing of an earlier era.
+ * backend_list_apply_feed() takes in what a peer read; nothing of an earlier era.
  * Returns false when the feed begins after the records known here: this instance
  * must read by itself.
  */
-bool backend_list_feed(struct backend_list *l, const struct backend_feed *f,
-		       int64_t now_ms)
+bool backend_list_apply_feed(struct backend_list *l,
+			     const struct backend_feed *f, int64_t now_ms)
 {
 	struct store_position known = l->pos;
-	bool copied = l->copied;
+	bool copied = l->restored;
 
 	if (!l->loaded)
 		return false;
@@ -68,37 +68,37 @@
 		return true;
 	if (!covers(f, known))
 		return false;
-	if (f->settle_ms && now_ms + f->settle_ms > l->settle_until)
-		l->settle_until = now_ms + f->settle_ms;
+	if (f->settle_ms && now_ms + f->settle_ms > l->grace_until_ms)
+		l->grace_until_ms = now_ms + f->settle_ms;
 	else
-		backend_list_note_silence(l, now_ms);
+		backend_list_grace_if_stale(l, now_ms);
 	if (f->to.era > known.era)
-		backend_list_begin_copy(l, now_ms);
+		backend_list_begin_restored(l, now_ms);
 	for (guint i = 0; i < f->changes->len; i++) {
 		const struct backend_change *c =
 			&g_array_index(f->changes, struct backend_change, i);
 
 		if (store_position_cmp(c->pos, known) >= 0)
-			backend_list_record(l, c, now_ms);
+			backend_list_apply_record(l, c, now_ms);
 	}
 	if (f->to.era > known.era)
 		begin_era(l, f);
-	l->copied = copied;
-	backend_list_caught_up(l, f->to,
-			       f->age_ms == AGE_UNKNOWN ? l->fresh_ms
-							: now_ms - f->age_ms,
-			       now_ms);
+	l->restored = copied;
+	backend_list_advance(l, f->to,
+			     f->age_ms == AGE_UNKNOWN ? l->fresh_ms
+						      : now_ms - f->age_ms,
+			     now_ms);
 	return true;
 }
 
-/* backend_list_outline() describes the recent changes for the peers. */
-void backend_list_outline(struct backend_list *l, struct backend_feed *f,
-			  int64_t now_ms)
+/* backend_list_build_feed() describes the recent changes for the peers. */
+void backend_list_build_feed(struct backend_list *l, struct backend_feed *f,
+			     int64_t now_ms)
 {
-	int64_t settle = l->settle_until - now_ms;
+	int64_t settle = l->grace_until_ms - now_ms;
 
 	f->from = l->recent_from;
-	f->listed = l->listed;
+	f->listed = l->listing_end;
 	f->to = l->pos;
 	f->age_ms = (uint32_t)(now_ms - l->fresh_ms);
 	f->settle_ms = settle > 0 ? (uint32_t)settle : 0;
@@ -118,10 +118,10 @@
 
 		g_array_append_val(changes, c);
 		c.missing = true;
-		if (e->missing)
+		if (e->deferred)
 			g_array_append_val(changes, c);
 	}
-	g_hash_table_iter_init(&it, l->doubted);
+	g_hash_table_iter_init(&it, l->unconfirmed);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct listed *d = v;
 		struct backend_change c = {
@@ -141,26 +141,25 @@
 {
 	backend_list_replace_begin(l, end.era, now_ms);
 	for (guint i = 0; i < changes->len; i++)
-		backend_list_record(
+		backend_list_apply_record(
 			l, &g_array_index(changes, struct backend_change, i),
 			now_ms);
 	backend_list_replace_end(l, end, as_of_ms, now_ms);
 }
 
 /*
- * backend_read_due() says when this instance is to read the list itself: the
+ * backend_list_next_read_ms() says when this instance is to read the list itself: the
  * first in rank always, another when nobody's news have come for too long,
  * later the further back it stands, and after failures not too often.
  */
-int64_t backend_read_due(unsigned rank, bool many, int64_t fresh_ms,
-			 int64_t tried_ms, unsigned failures)
+int64_t backend_list_next_read_ms(unsigned rank, bool many, int64_t fresh_ms,
+				  int64_t tried_ms, unsigned failures)
 {
 	int64_t longest =
-		many && rank >= HUBS ? RETRY_PATIENT_MS : RETRY_MAX_MS;
+		many && rank >= HUBS ? RETRY_BEHIND_HUBS_MS : RETRY_MAX_MS;
 	unsigned r = rank < RANK_MAX ? rank : RANK_MAX;
-	int64_t due =
-		fresh_ms +
-		(rank ? TAKE_OVER_MS + (int64_t)r * RANK_STEP_MS : READ_MS);
+	int64_t due = fresh_ms + (rank ? TAKEOVER_MS + (int64_t)r * RANK_STEP_MS
+				       : READ_MS);
 
 	if (failures) {
 		unsigned shift = failures < 5 ? failures - 1 : 4;
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -4,7 +4,7 @@
 #include "control/backend_list_private.h"
 
 enum {
-	HEARTBEAT_STANDARD_MS = 1500,
+	HEARTBEAT_DEFAULT_MS = 1500,
 	/* Changes are repeated to peers for this long, against loss. */
 	RECENT_MS = 2500,
 };
@@ -16,10 +16,10 @@
 		       void *priv)
 {
 	memset(l, 0, sizeof(*l));
-	l->heartbeat_ms = HEARTBEAT_STANDARD_MS;
+	l->heartbeat_ms = HEARTBEAT_DEFAULT_MS;
 	l->entries =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-	l->doubted =
+	l->unconfirmed =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	ended_servers_init(&l->ended);
 	l->recent = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
@@ -57,14 +57,14 @@
 }
 
 /*
- * backend_list_note_silence() comes before news are taken in: after a long
+ * backend_list_grace_if_stale() comes before news are taken in: after a long
  * silence they may hold removals that only the silence caused.
  */
-void backend_list_note_silence(struct backend_list *l, int64_t now_ms)
+void backend_list_grace_if_stale(struct backend_list *l, int64_t now_ms)
 {
 	/* A lease is three heartbeats: below one none can have run out. */
 	if (l->loaded && now_ms - l->fresh_ms > l->heartbeat_ms)
-		l->settle_until = now_ms + BACKEND_SETTLE_MS;
+		l->grace_until_ms = now_ms + BACKEND_GRACE_MS;
 }
 
 /*
@@ -72,7 +72,7 @@
  */
 void backend_list_read_begin(struct backend_list *l, int64_t now_ms)
 {
-	backend_list_note_silence(l, now_ms);
+	backend_list_grace_if_stale(l, now_ms);
 }
 
 static void remove_entry(struct backend_list *l, const struct backend_change *c,
@@ -81,13 +81,13 @@
 	struct listed *e = g_hash_table_lookup(l->entries, c->entry.id);
 
 	/* Peers may hold it, or doubt it too. */
-	g_hash_table_remove(l->doubted, c->entry.id);
+	g_hash_table_remove(l->unconfirmed, c->entry.id);
 	if (!e)
 		remember(l, c, now_ms);
 	if (!e || store_position_cmp(c->pos, e->pos) < 0)
 		return;
 	e->pos = c->pos;
-	if (backend_list_holds_back(l, e, now_ms)) {
+	if (backend_list_defer_removal(l, e, now_ms)) {
 		remember(l, c, now_ms);
 		return;
 	}
@@ -99,37 +99,40 @@
 }
 
 /*
- * backend_list_remove_missing() takes off a server that the copy lacks if a removal
+ * backend_list_remove_deferred() takes off a server that the copy lacks if a removal
  * in its log is newer than the copy. The copy ended before the entry's lost record,
  * so a removal before that may be an earlier one, after which the server was back.
  */
-void backend_list_remove_missing(struct backend_list *l,
-				 const struct backend_change *c, int64_t now_ms)
+void backend_list_remove_deferred(struct backend_list *l,
+				  const struct backend_change *c,
+				  int64_t now_ms)
 {
 	const struct listed *e = g_hash_table_lookup(l->entries, c->entry.id);
 	struct backend_change gone = *c;
 
-	if (!e || !e->missing || e->carried || c->pos.offset < e->pos.offset)
+	if (!e || !e->deferred || e->from_old_era ||
+	    c->pos.offset < e->pos.offset)
 		return;
 	gone.pos = l->pos;
 	remove_entry(l, &gone, now_ms);
 }
 
 /* The store's copy lacks a server that has written nothing since. */
-static void miss_entry(struct backend_list *l, const struct backend_change *c,
-		       int64_t now_ms)
+static void defer_missing_entry(struct backend_list *l,
+				const struct backend_change *c, int64_t now_ms)
 {
 	struct listed *e = g_hash_table_lookup(l->entries, c->entry.id);
 
 	if (!e || store_position_cmp(c->pos, e->pos) < 0)
 		return;
-	backend_list_hold(l, e, now_ms);
+	backend_list_defer_missing(l, e, now_ms);
 	remember(l, c, now_ms);
 }
 
 /* The copy has one that was off the list: a removal may be written again. */
-static void doubt_entry(struct backend_list *l, const struct backend_change *c,
-			int64_t now_ms)
+static void add_unconfirmed_entry(struct backend_list *l,
+				  const struct backend_change *c,
+				  int64_t now_ms)
 {
 	struct listed *d = g_new0(struct listed, 1);
 	struct backend_change told = *c;
@@ -139,7 +142,7 @@
 	d->seen = true;
 	told.doubted = true;
 	remember(l, &told, now_ms);
-	backend_list_doubt(l, d, now_ms);
+	backend_list_add_unconfirmed(l, d, now_ms);
 	mp_event(EV_MEMBER_DOUBTED, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s offset=%" G_GUINT64_FORMAT
 		 " era=%" G_GUINT64_FORMAT,
@@ -162,11 +165,11 @@
 			  const struct backend_change *said, int64_t now_ms)
 {
 	struct backend_change c = {.pos = said->pos, .entry = e->entry};
-	bool was_missing = e->missing;
+	bool was_missing = e->deferred;
 
 	e->pos = said->pos;
-	e->missing = false;
-	e->carried = differs(&e->entry, &said->entry);
+	e->deferred = false;
+	e->from_old_era = differs(&e->entry, &said->entry);
 	if (was_missing)
 		backend_list_publish(l, &c, now_ms);
 }
@@ -176,7 +179,7 @@
 			 const struct backend_change *c, int64_t now_ms)
 {
 	bool changed =
-		e->missing || e->carried || differs(&e->entry, &c->entry);
+		e->deferred || e->from_old_era || differs(&e->entry, &c->entry);
 
 	e->seen = true;
 	if (store_position_cmp(c->pos, e->pos) < 0)
@@ -188,8 +191,8 @@
 	}
 	e->entry = c->entry;
 	e->pos = c->pos;
-	e->missing = false;
-	e->carried = false;
+	e->deferred = false;
+	e->from_old_era = false;
 	if (changed)
 		backend_list_publish(l, c, now_ms);
 }
@@ -203,17 +206,17 @@
 	e->entry = c->entry;
 	e->pos = c->pos;
 	e->seen = true;
-	g_hash_table_remove(l->doubted, e->entry.id);
+	g_hash_table_remove(l->unconfirmed, e->entry.id);
 	g_hash_table_insert(l->entries, e->entry.id, e);
 	backend_list_publish(l, c, now_ms);
 }
 
 /*
- * backend_list_record() takes in one record. Records older than what is
+ * backend_list_apply_record() takes in one record. Records older than what is
  * known of their entry are passed over.
  */
-void backend_list_record(struct backend_list *l, const struct backend_change *c,
-			 int64_t now_ms)
+void backend_list_apply_record(struct backend_list *l,
+			       const struct backend_change *c, int64_t now_ms)
 {
 	struct listed *e;
 
@@ -222,27 +225,27 @@
 		return;
 	}
 	if (c->missing) {
-		miss_entry(l, c, now_ms);
+		defer_missing_entry(l, c, now_ms);
 		return;
 	}
 	e = g_hash_table_lookup(l->entries, c->entry.id);
 	if (c->doubted) {
 		if (!e)
-			doubt_entry(l, c, now_ms);
+			add_unconfirmed_entry(l, c, now_ms);
 		return;
 	}
 	if (e) {
 		update_entry(l, e, c, now_ms);
 		return;
 	}
-	switch (ended_servers_judge(&l->ended, &c->entry, c->pos, now_ms)) {
-	case ENDED_NEWS:
+	switch (ended_servers_classify(&l->ended, &c->entry, c->pos, now_ms)) {
+	case ENTRY_NEW:
 		backend_list_add(l, c, now_ms);
 		break;
-	case ENDED_DOUBT:
-		doubt_entry(l, c, now_ms);
+	case ENTRY_UNCONFIRMED:
+		add_unconfirmed_entry(l, c, now_ms);
 		break;
-	case ENDED_LATE:
+	case ENTRY_STALE:
 		break;
 	}
 }
@@ -266,12 +269,12 @@
 }
 
 /*
- * backend_list_caught_up() says that all records before `end` are taken in
+ * backend_list_advance() says that all records before `end` are taken in
  * and that these were all there were at as_of_ms. After a time without news
  * removals are held back for a while.
  */
-void backend_list_caught_up(struct backend_list *l, struct store_position end,
-			    int64_t as_of_ms, int64_t now_ms)
+void backend_list_advance(struct backend_list *l, struct store_position end,
+			  int64_t as_of_ms, int64_t now_ms)
 {
 	if (store_position_cmp(end, l->pos) > 0)
 		l->pos = end;
@@ -280,16 +283,16 @@
 	prune_recent(l, now_ms);
 }
 
-/* backend_list_begin_copy(): what is taken in from here on comes from a copy. */
-void backend_list_begin_copy(struct backend_list *l, int64_t now_ms)
+/* backend_list_begin_restored(): what is taken in from here on comes from a copy. */
+void backend_list_begin_restored(struct backend_list *l, int64_t now_ms)
 {
-	l->copied = true;
-	l->copied_ms = now_ms;
+	l->restored = true;
+	l->restored_ms = now_ms;
 }
 
 /*
  * backend_list_replace_begin() starts taking in a whole listing of an era,
- * whose entries come through backend_list_record().
+ * whose entries come through backend_list_apply_record().
  */
 void backend_list_replace_begin(struct backend_list *l, uint64_t era,
 				int64_t now_ms)
@@ -297,14 +300,14 @@
 	GHashTableIter it;
 	gpointer v;
 
-	backend_list_note_silence(l, now_ms);
-	l->copied = false;
+	backend_list_grace_if_stale(l, now_ms);
+	l->restored = false;
 	if (l->loaded && era > l->pos.era)
-		backend_list_begin_copy(l, now_ms);
+		backend_list_begin_restored(l, now_ms);
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v))
 		((struct listed *)v)->seen = false;
-	g_hash_table_iter_init(&it, l->doubted);
+	g_hash_table_iter_init(&it, l->unconfirmed);
 	while (g_hash_table_iter_next(&it, NULL, &v))
 		((struct listed *)v)->seen = false;
 }
@@ -320,22 +323,22 @@
 static void drop_unseen(struct backend_list *l, const struct listed *e,
 			struct store_position end, int64_t now_ms)
 {
-	struct backend_change c = {.pos = l->copied ? before(end) : e->pos,
-				   .removed = !l->copied,
-				   .missing = l->copied,
+	struct backend_change c = {.pos = l->restored ? before(end) : e->pos,
+				   .removed = !l->restored,
+				   .missing = l->restored,
 				   .entry = e->entry};
 
-	backend_list_record(l, &c, now_ms);
+	backend_list_apply_record(l, &c, now_ms);
 }
 
 /* What was doubted has been removed again before the listing. */
-static void end_unseen_doubts(struct backend_list *l, struct store_position end,
-			      int64_t now_ms)
+static void drop_unseen_unconfirmed(struct backend_list *l,
+				    struct store_position end, int64_t now_ms)
 {
 	GHashTableIter it;
 	gpointer v;
 
-	g_hash_table_iter_init(&it, l->doubted);
+	g_hash_table_iter_init(&it, l->unconfirmed);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct listed *d = v;
 		struct backend_change c = {
@@ -376,19 +379,19 @@
 		 * already has its time.
 		 */
 		if (!e->seen && store_position_cmp(e->pos, end) < 0 &&
-		    (l->copied || !e->missing))
+		    (l->restored || !e->deferred))
 			g_ptr_array_add(lost, v);
 	}
 	for (guint i = 0; i < lost->len; i++)
 		drop_unseen(l, g_ptr_array_index(lost, i), end, now_ms);
 	g_ptr_array_unref(lost);
-	end_unseen_doubts(l, end, now_ms);
+	drop_unseen_unconfirmed(l, end, now_ms);
 	l->loaded = true;
-	l->listed = end;
+	l->listing_end = end;
 	g_array_sort(l->recent, by_position);
-	backend_list_caught_up(l, end, as_of_ms, now_ms);
-	if (l->copied) {
-		l->copied = false;
+	backend_list_advance(l, end, as_of_ms, now_ms);
+	if (l->restored) {
+		l->restored = false;
 		return;
 	}
 	/* Peers that are behind can't be fed across a listing. */
--- a/control/backend_list_private.h
+++ b/control/backend_list_private.h
@@ -9,33 +9,33 @@
 	 * Entries that lapsed while the store was away come back within two
 	 * seconds of its return; one still missing then is gone.
 	 */
-	BACKEND_SETTLE_MS = 2200,
+	BACKEND_GRACE_MS = 2200,
 };
 
 struct listed {
 	struct backend_entry entry;
 	struct store_position pos; /* of its newest record */
-	bool missing;		   /* its removal is held back */
+	bool deferred;		   /* its removal is held back */
 	int64_t due_ms;		   /* until then; or the doubt ends then */
 	/*
 	 * What is known of it is from an earlier era: the present log may say
 	 * less, and to peers that missed it its next record is news.
 	 */
-	bool carried;
+	bool from_old_era;
 	bool seen; /* in the listing that is being read */
 };
 
 void backend_list_publish(struct backend_list *l,
 			  const struct backend_change *c, int64_t now_ms);
-void backend_list_note_silence(struct backend_list *l, int64_t now_ms);
-void backend_list_begin_copy(struct backend_list *l, int64_t now_ms);
+void backend_list_grace_if_stale(struct backend_list *l, int64_t now_ms);
+void backend_list_begin_restored(struct backend_list *l, int64_t now_ms);
 void backend_list_add(struct backend_list *l, const struct backend_change *c,
 		      int64_t now_ms);
-bool backend_list_holds_back(struct backend_list *l, struct listed *e,
-			     int64_t now_ms);
-void backend_list_hold(struct backend_list *l, struct listed *e,
-		       int64_t now_ms);
-void backend_list_doubt(struct backend_list *l, struct listed *d,
-			int64_t now_ms);
+bool backend_list_defer_removal(struct backend_list *l, struct listed *e,
+				int64_t now_ms);
+void backend_list_defer_missing(struct backend_list *l, struct listed *e,
+				int64_t now_ms);
+void backend_list_add_unconfirmed(struct backend_list *l, struct listed *d,
+				  int64_t now_ms);
 
 #endif
--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -39,14 +39,14 @@
 	return decode_key(rec, c);
 }
 
-static void take_records(struct backend_watch *w, const struct store_result *r,
-			 int64_t now_ms)
+static void apply_records(struct backend_watch *w, const struct store_result *r,
+			  int64_t now_ms)
 {
 	for (size_t i = 0; i < r->nrecords; i++) {
 		struct backend_change c;
 
 		if (decode(&r->records[i], &c))
-			backend_list_record(&w->list, &c, now_ms);
+			backend_list_apply_record(&w->list, &c, now_ms);
 	}
 }
 
@@ -80,23 +80,23 @@
 {
 	struct store_position from = w->list.pos;
 
-	if (!w->listing_copied || !backend_list_has_missing(&w->list))
+	if (!w->listing_restored || !backend_list_has_deferred(&w->list))
 		return false;
 	from.offset -= MIN(from.offset, TAIL_RECORDS);
-	w->reads_tail = true;
+	w->reading_tail = true;
 	store_read(&w->store, STORE_TOPIC_BACKENDS, from, 0);
 	return true;
 }
 
-static void take_removals(struct backend_watch *w, const struct store_result *r,
-			  int64_t now_ms)
+static void apply_removals(struct backend_watch *w,
+			   const struct store_result *r, int64_t now_ms)
 {
 	for (size_t i = 0; i < r->nrecords; i++) {
 		struct backend_change c;
 
 		if (!decode(&r->records[i], &c) || !c.removed)
 			continue;
-		backend_list_remove_missing(&w->list, &c, now_ms);
+		backend_list_remove_deferred(&w->list, &c, now_ms);
 	}
 }
 
@@ -108,15 +108,16 @@
 		w->listing = true;
 		w->listing_end = r->end;
 		backend_list_replace_begin(&w->list, r->end.era, now_ms);
-		w->listing_copied = w->list.copied;
+		w->listing_restored = w->list.restored;
 	}
-	take_records(w, r, now_ms);
+	apply_records(w, r, now_ms);
 	if (r->more) {
 		store_newest(&w->store, STORE_TOPIC_BACKENDS, r->last_key);
 		return;
 	}
 	w->listing = false;
-	backend_list_replace_end(&w->list, w->listing_end, w->tried_ms, now_ms);
+	backend_list_replace_end(&w->list, w->listing_end, w->read_sent_ms,
+				 now_ms);
 }
 
 static void finish(struct backend_watch *w)
@@ -127,7 +128,7 @@
 		mp_event(EV_PLATFORM_RECOVERED, G_LOG_LEVEL_MESSAGE,
 			 "what=backends failures=%u", w->failures);
 	w->failures = 0;
-	w->answered_ms = w->tried_ms;
+	w->answered_ms = w->read_sent_ms;
 	w->gap = false;
 	w->relist = false;
 	w->read_done(w->priv, recovered);
@@ -139,10 +140,10 @@
 	int64_t now_ms = clock_ms();
 
 	/* Without it what is missing has its time, as ever. */
-	if (w->reads_tail) {
-		w->reads_tail = false;
+	if (w->reading_tail) {
+		w->reading_tail = false;
 		if (!r->err)
-			take_removals(w, r, now_ms);
+			apply_removals(w, r, now_ms);
 		finish(w);
 		return;
 	}
@@ -150,14 +151,14 @@
 		on_failure(w, r->err);
 		return;
 	}
-	if (w->asked_all) {
+	if (w->full_listing) {
 		on_page(w, r, now_ms);
 		if (w->listing || read_tail(w))
 			return;
 	} else {
 		backend_list_read_begin(&w->list, now_ms);
-		take_records(w, r, now_ms);
-		backend_list_caught_up(&w->list, r->end, w->tried_ms, now_ms);
+		apply_records(w, r, now_ms);
+		backend_list_advance(&w->list, r->end, w->read_sent_ms, now_ms);
 	}
 	finish(w);
 }
@@ -173,10 +174,10 @@
 
 static void read_now(struct backend_watch *w, int64_t now_ms)
 {
-	w->tried_ms = now_ms;
-	w->asked_all =
+	w->read_sent_ms = now_ms;
+	w->full_listing =
 		!w->list.loaded || w->relist || !backend_watch_is_current(w);
-	if (!w->asked_all)
+	if (!w->full_listing)
 		store_read(&w->store, STORE_TOPIC_BACKENDS, w->list.pos, 0);
 	else
 		store_newest(&w->store, STORE_TOPIC_BACKENDS, LSTR(""));
@@ -190,33 +191,33 @@
 			bool many, int64_t now_ms)
 {
 	/* After a rise of the era those behind the first wait to be fed. */
-	int64_t due =
-		backend_read_due(rank, many, MAX(w->list.fresh_ms, w->era_ms),
-				 w->tried_ms, w->failures);
+	int64_t due = backend_list_next_read_ms(
+		rank, many, MAX(w->list.fresh_ms, w->era_ms), w->read_sent_ms,
+		w->failures);
 	bool anew = !w->list.loaded || w->gap || w->relist ||
 		    (rank == 0 && !backend_watch_is_current(w));
 
-	backend_list_settle(&w->list, now_ms);
+	backend_list_apply_deferred(&w->list, now_ms);
 	if (w->store.call != STORE_NO_CALL || !(may_list || w->list.loaded))
 		return;
 	if (anew && w->failures == 0)
 		due = 0;
 	/* Somebody has read the store since it failed here. */
-	if (w->gap && w->gap_ms > w->tried_ms)
+	if (w->gap && w->gap_ms > w->read_sent_ms)
 		due = 0;
 	if (now_ms >= due)
 		read_now(w, now_ms);
 }
 
-/* backend_watch_feed() takes in what a peer has read. */
-void backend_watch_feed(struct backend_watch *w, const struct backend_feed *f,
-			int64_t now_ms)
+/* backend_watch_apply_feed() takes in what a peer has read. */
+void backend_watch_apply_feed(struct backend_watch *w,
+			      const struct backend_feed *f, int64_t now_ms)
 {
 	/* One that still lives in an earlier era has nothing to tell. */
 	if (f->to.era < w->store.store->era)
 		return;
 	/* An instance that is still starting reads or is introduced anyway. */
-	if (backend_list_feed(&w->list, f, now_ms) || !w->list.loaded)
+	if (backend_list_apply_feed(&w->list, f, now_ms) || !w->list.loaded)
 		return;
 	w->gap = true;
 	w->gap_ms = now_ms;
@@ -234,7 +235,7 @@
 		return;
 	store_cancel(&w->store);
 	w->listing = false;
-	w->reads_tail = false;
+	w->reading_tail = false;
 }
 
 /* backend_watch_start() begins with a whole listing. */
--- a/control/backend_watch.h
+++ b/control/backend_watch.h
@@ -11,16 +11,16 @@
 struct backend_watch {
 	struct backend_list list;
 	struct store_channel store;
-	int64_t tried_ms;    /* the last read was sent then */
-	int64_t answered_ms; /* the last one that the store answered was */
-	unsigned failures;   /* in a row */
-	bool relist;	/* the store has nothing at the bookmark any more */
-	bool gap;	/* a feed began after what is known */
-	int64_t gap_ms; /* when */
-	bool asked_all; /* the call under way asks for a whole listing */
+	int64_t read_sent_ms; /* the last read was sent then */
+	int64_t answered_ms;  /* the last one that the store answered was */
+	unsigned failures;    /* in a row */
+	bool relist;	   /* the store has nothing at the bookmark any more */
+	bool gap;	   /* a feed began after what is known */
+	int64_t gap_ms;	   /* when */
+	bool full_listing; /* the call under way asks for a whole listing */
 	bool listing;
-	bool listing_copied; /* it is of a copy of the store */
-	bool reads_tail;     /* the call under way looks for removals */
+	bool listing_restored; /* it is of a copy of the store */
+	bool reading_tail;     /* the call under way looks for removals */
 	struct store_position listing_end;
 	int64_t era_ms; /* the store's present era was heard of then */
 	/* A read has succeeded; `recovered`: the first after failures. */
@@ -36,8 +36,8 @@
 			 void *priv);
 void backend_watch_tick(struct backend_watch *w, bool may_list, unsigned rank,
 			bool many, int64_t now_ms);
-void backend_watch_feed(struct backend_watch *w, const struct backend_feed *f,
-			int64_t now_ms);
+void backend_watch_apply_feed(struct backend_watch *w,
+			      const struct backend_feed *f, int64_t now_ms);
 void backend_watch_new_era(struct backend_watch *w, int64_t now_ms);
 bool backend_watch_is_current(const struct backend_watch *w);
 
--- a/control/config_source.c
+++ b/control/config_source.c
@@ -14,7 +14,7 @@
 }
 
 /* A copy of the store may hold an older version; calm records don't. */
-static void log_older(const struct config_held *held, uint64_t version,
+static void log_older(const struct config_current *held, uint64_t version,
 		      const struct store_record *rec)
 {
 	if (held->listed && rec->pos.era > held->pos.era)
@@ -32,7 +32,7 @@
 }
 
 /* Whether a record has other content under the number that is in force. */
-static bool replaces(const struct config_held *held,
+static bool replaces(const struct config_current *held,
 		     const struct store_record *rec)
 {
 	return store_position_cmp(rec->pos, held->pos) >= 0 &&
@@ -40,13 +40,13 @@
 }
 
 /*
- * config_source_newer() decodes a record; NULL when it is unfit or says nothing
+ * config_source_decode_newer() decodes a record; NULL when it is unfit or says nothing
  * newer. Of two records with one number the one that stands later counts: it was
  * confirmed last, and it is the one that instances will find that start later.
  */
-struct config *config_source_newer(const struct config_source *s,
-				   const struct store_record *rec,
-				   const struct config_held *held)
+struct config *config_source_decode_newer(const struct config_source *s,
+					  const struct store_record *rec,
+					  const struct config_current *held)
 {
 	struct findings f;
 	struct config *c;
--- a/control/config_source.h
+++ b/control/config_source.h
@@ -18,15 +18,15 @@
 };
 
 /* What an instance has when it reads a record. */
-struct config_held {
+struct config_current {
 	uint64_t version;	   /* in force; 0: none */
 	struct lstr record;	   /* of that version */
 	struct store_position pos; /* records before it are taken in */
 	bool listed;		   /* pos is a bookmark already */
 };
 
-struct config *config_source_newer(const struct config_source *s,
-				   const struct store_record *rec,
-				   const struct config_held *held);
+struct config *config_source_decode_newer(const struct config_source *s,
+					  const struct store_record *rec,
+					  const struct config_current *held);
 
 #endif
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -17,37 +17,37 @@
 	 * instances poll, and waits that differ keep them from asking at the
 	 * same moment, and so from both missing one.
 	 */
-	WAIT_LEAST_MS = 1750,
-	WAIT_LATE_MS = 500, /* beyond it no answer will come */
+	POLL_WAIT_MIN_MS = 1750,
+	ANSWER_MARGIN_MS = 500, /* beyond it no answer will come */
 	/*
 	 * The first instances poll and the others hear from them, some four
 	 * times a second; one that hears nothing for this long polls too.
 	 */
-	QUIET_MS = 1000,
+	SILENCE_MS = 1000,
 	/*
 	 * In a large system those behind the hubs leave it to these first, so
 	 * that not all ask at once; a version must be in force 2 s after its
 	 * confirmation.
 	 */
-	QUIET_PATIENT_MS = 1500,
+	SILENCE_BEHIND_HUBS_MS = 1500,
 	/*
 	 * A poll from before a peer told of a record may have been lost, or
 	 * its answer is on the way: 500 KB take 0.4 s on a link of 10 Mbit/s.
 	 */
-	ON_THE_WAY_MS = 700,
+	IN_TRANSIT_MS = 700,
 	/*
 	 * Pause after a version, so that a series of them costs a few calls;
 	 * a version must be in force 2 s after its confirmation.
 	 */
-	PAUSE_MS = 300,
-	PAUSE_LEAST_MS = 200,
+	POLL_PAUSE_MAX_MS = 300,
+	POLL_PAUSE_MIN_MS = 200,
 	RETRY_MS = 200, /* after a failure, doubled up to the longest */
 	RETRY_MAX_MS = 800,
 	/*
 	 * When others look after the store: they tell when it is back, and
 	 * one that hears nobody must have a version in force within 5 s.
 	 */
-	RETRY_PATIENT_MS = 2800,
+	RETRY_BEHIND_HUBS_MS = 2800,
 };
 
 static void ask(struct config_watch *w);
@@ -64,13 +64,14 @@
 /* config_poll_wait_ms() says how long a poll waits; random lies in 0..1. */
 int config_poll_wait_ms(double random)
 {
-	return WAIT_LEAST_MS + (int)((WAIT_MS - WAIT_LEAST_MS) * random);
+	return POLL_WAIT_MIN_MS + (int)((WAIT_MS - POLL_WAIT_MIN_MS) * random);
 }
 
 /* config_poll_pause_ms() says how long after a version the next one begins. */
 int config_poll_pause_ms(double random)
 {
-	return PAUSE_LEAST_MS + (int)((PAUSE_MS - PAUSE_LEAST_MS) * random);
+	return POLL_PAUSE_MIN_MS +
+	       (int)((POLL_PAUSE_MAX_MS - POLL_PAUSE_MIN_MS) * random);
 }
 
 static void on_retry(struct ev_loop *loop, ev_timer *t, int revents)
@@ -78,7 +79,7 @@
 	ask(t->data);
 }
 
-static void ask_later(struct config_watch *w, int ms)
+static void schedule_read(struct config_watch *w, int ms)
 {
 	ev_timer_stop(w->loop, &w->retry);
 	ev_timer_set(&w->retry, ms / 1000.0, 0);
@@ -95,14 +96,14 @@
 			     const struct store_record *rec,
 			     struct store_position before)
 {
-	struct config_held held = {
+	struct config_current held = {
 		.version = w->version,
 		.record = buf_lstr(&w->record),
 		.pos = before,
 		.listed = w->listed,
 	};
 
-	return config_source_newer(&w->source, rec, &held);
+	return config_source_decode_newer(&w->source, rec, &held);
 }
 
 /* Takes over a usable version and keeps its record for peers. */
@@ -125,8 +126,8 @@
  * Takes the newest usable version of a batch of records. `before`: what was
  * taken in by then.
  */
-static void take_newest(struct config_watch *w, const struct store_result *r,
-			struct store_position before)
+static void apply_newest(struct config_watch *w, const struct store_result *r,
+			 struct store_position before)
 {
 	for (size_t i = r->nrecords; i > 0; i--) {
 		const struct store_record *rec = &r->records[i - 1];
@@ -144,7 +145,7 @@
 }
 
 /* Nothing was written yet: the first version may be known all the same. */
-static void take_absent(struct config_watch *w)
+static void apply_absent(struct config_watch *w)
 {
 	struct store_record none = {.key = lstr0(w->source.key)};
 	struct config *c = usable(w, &none, w->pos);
@@ -154,11 +155,11 @@
 }
 
 /*
- * config_watch_introduce() takes a peer's newest record, which stands before
+ * config_watch_import() takes a peer's newest record, which stands before
  * `pos` and was the newest at told_ms; the store is read on from there.
  */
-void config_watch_introduce(struct config_watch *w, struct lstr record,
-			    struct store_position pos, int64_t told_ms)
+void config_watch_import(struct config_watch *w, struct lstr record,
+			 struct store_position pos, int64_t told_ms)
 {
 	struct store_record rec = {
 		.pos = pos, .key = lstr0(w->source.key), .value = record};
@@ -172,7 +173,7 @@
 	take(w, c, &rec, "peer");
 	w->pos = pos;
 	w->listed = true;
-	w->told_ms = told_ms;
+	w->peer_confirmed_ms = told_ms;
 }
 
 /* The store has nothing at the bookmark any more. */
@@ -183,7 +184,7 @@
 		 " era=%" G_GUINT64_FORMAT " known_era=%" G_GUINT64_FORMAT,
 		 w->pos.offset, w->pos.era, w->store.store->era);
 	/* Once at once; a store that says so of each read is not asked at will. */
-	ask_later(w, w->relist ? RETRY_MS : 0);
+	schedule_read(w, w->relist ? RETRY_MS : 0);
 	w->relist = true;
 }
 
@@ -191,14 +192,14 @@
 {
 	unsigned shift = w->failures < 5 ? w->failures : 4;
 	int wait = RETRY_MS << shift;
-	int longest = w->patient ? RETRY_PATIENT_MS : RETRY_MAX_MS;
+	int longest = w->behind_hubs ? RETRY_BEHIND_HUBS_MS : RETRY_MAX_MS;
 
 	if (w->failures++ == 0)
 		mp_event(EV_PLATFORM_UNREACHABLE, G_LOG_LEVEL_WARNING,
 			 "what=config err=%s version=%" G_GUINT64_FORMAT
 			 " offset=%" G_GUINT64_FORMAT,
 			 g_strerror(-err), w->version, w->pos.offset);
-	ask_later(w, wait < longest ? wait : longest);
+	schedule_read(w, wait < longest ? wait : longest);
 }
 
 static void on_done(void *priv, const struct store_result *r)
@@ -211,7 +212,7 @@
 		return;
 	}
 	if (r->err == -ECANCELED) {
-		ask_later(w, RETRY_MS);
+		schedule_read(w, RETRY_MS);
 		return;
 	}
 	if (r->err) {
@@ -232,13 +233,13 @@
 	if (store_position_cmp(r->end, w->pos) > 0)
 		w->pos = r->end;
 	w->relist = false;
-	take_newest(w, r, before);
+	apply_newest(w, r, before);
 	if (!w->version && w->source.usable_when_absent)
-		take_absent(w);
-	if (w->polls || store_position_cmp(w->told, w->pos) > 0)
-		ask_later(w, r->nrecords
-				     ? config_poll_pause_ms(g_random_double())
-				     : 0);
+		apply_absent(w);
+	if (w->polls || store_position_cmp(w->peer_pos, w->pos) > 0)
+		schedule_read(
+			w, r->nrecords ? config_poll_pause_ms(g_random_double())
+				       : 0);
 }
 
 /* A bookmark of an earlier era marks nothing in the store's present log. */
@@ -249,7 +250,7 @@
 
 static void ask(struct config_watch *w)
 {
-	w->asked_ms = clock_ms();
+	w->call_sent_ms = clock_ms();
 	if (!w->listed || w->relist || !is_bookmark_valid(w))
 		store_newest(&w->store, w->source.topic, LSTR(""));
 	else
@@ -265,14 +266,14 @@
 /*
  * config_watch_tick() polls when it is this instance's turn (`first`), or
  * when no peer says that it knows the newest version. Without `may_ask` it
- * waits for a peer to introduce it. Call it every 0.1 s or so.
+ * waits for a peer to peer_fetch it. Call it every 0.1 s or so.
  */
 void config_watch_tick(struct config_watch *w, bool may_ask, bool first,
 		       int64_t now_ms)
 {
-	int quiet = w->patient ? QUIET_PATIENT_MS : QUIET_MS;
+	int quiet = w->behind_hubs ? SILENCE_BEHIND_HUBS_MS : SILENCE_MS;
 	/* After a rise of the era those that read the store have their turn. */
-	int64_t heard_ms = MAX(w->told_ms, w->era_ms);
+	int64_t heard_ms = MAX(w->peer_confirmed_ms, w->era_ms);
 
 	w->polls = may_ask && (first || now_ms - heard_ms > quiet);
 	if (w->polls && is_idle(w))
@@ -296,17 +297,18 @@
 		w->pos = pos;
 		w->relist = false;
 	}
-	if (store_position_cmp(pos, w->pos) == 0 && told_ms > w->told_ms)
-		w->told_ms = told_ms;
+	if (store_position_cmp(pos, w->pos) == 0 &&
+	    told_ms > w->peer_confirmed_ms)
+		w->peer_confirmed_ms = told_ms;
 }
 
 /*
- * config_watch_update() takes a peer's newest usable record, which is all that
+ * config_watch_apply_peer() takes a peer's newest usable record, which is all that
  * matters of the records before `pos`. Returns 0, or -ESTALE when the peer
  * knows less than is known here, so that the store must be read.
  */
-int config_watch_update(struct config_watch *w, struct lstr record,
-			struct store_position pos, int64_t told_ms)
+int config_watch_apply_peer(struct config_watch *w, struct lstr record,
+			    struct store_position pos, int64_t told_ms)
 {
 	struct store_record rec = {
 		.pos = pos, .key = lstr0(w->source.key), .value = record};
@@ -316,7 +318,7 @@
 	if (c) {
 		take(w, c, &rec, "peer");
 	} else if (!is_in_force(w, record)) {
-		w->unfit_digest = digest_of(record);
+		w->invalid_digest = digest_of(record);
 		if (ahead && pos.era == w->pos.era)
 			return -ESTALE;
 	}
@@ -325,16 +327,16 @@
 }
 
 /* A peer knows of records that this instance hasn't read: since when? */
-static void note_behind(struct config_watch *w, struct store_position pos,
-			int64_t now_ms)
+static void record_behind(struct config_watch *w, struct store_position pos,
+			  int64_t now_ms)
 {
-	if (store_position_cmp(w->told, w->pos) <= 0 ||
-	    store_position_cmp(w->behind_at, w->pos) != 0) {
+	if (store_position_cmp(w->peer_pos, w->pos) <= 0 ||
+	    store_position_cmp(w->behind_pos, w->pos) != 0) {
 		w->behind_ms = now_ms;
-		w->behind_at = w->pos;
+		w->behind_pos = w->pos;
 	}
-	if (store_position_cmp(pos, w->told) > 0)
-		w->told = pos;
+	if (store_position_cmp(pos, w->peer_pos) > 0)
+		w->peer_pos = pos;
 }
 
 /* Whether a peer's version counts more than the one that is in force. */
@@ -346,42 +348,44 @@
 }
 
 /* A newer version is in the store, unless that has come back without it. */
-static enum config_need fetch(struct config_watch *w,
-			      const struct config_mark *m, int64_t now_ms)
+static enum config_action fetch(struct config_watch *w,
+				const struct config_mark *m, int64_t now_ms)
 {
 	bool ahead = store_position_cmp(m->pos, w->pos) > 0;
 
-	w->news = *m;
+	w->newest_mark = *m;
 	if (ahead)
-		note_behind(w, m->pos, now_ms);
+		record_behind(w, m->pos, now_ms);
 	if (!w->listed)
-		return CONFIG_KNOWN;
+		return CONFIG_NO_ACTION;
 	if (!ahead || m->pos.era != w->pos.era || !is_bookmark_valid(w))
-		return w->unfit_digest == m->digest ? CONFIG_KNOWN : CONFIG_ASK;
+		return w->invalid_digest == m->digest ? CONFIG_NO_ACTION
+						      : CONFIG_ASK_PEER;
 	/* A call from after that time brings it, however long it takes. */
-	if (w->store.call != STORE_NO_CALL && w->asked_ms < w->behind_ms &&
-	    now_ms - w->behind_ms > ON_THE_WAY_MS)
+	if (w->store.call != STORE_NO_CALL && w->call_sent_ms < w->behind_ms &&
+	    now_ms - w->behind_ms > IN_TRANSIT_MS)
 		config_watch_restart(w);
 	/* Somebody could read it: the pause after a failure is over. */
 	if (w->failures && ev_is_active(&w->retry))
 		ev_timer_stop(w->loop, &w->retry);
-	return is_idle(w) ? CONFIG_READ : CONFIG_KNOWN;
+	return is_idle(w) ? CONFIG_READ_STORE : CONFIG_NO_ACTION;
 }
 
 /*
- * config_watch_heard() takes in how far a peer knows the configuration. Returns
+ * config_watch_on_mark() takes in how far a peer knows the configuration. Returns
  * what is to be done about a version that is new here and that no call under
  * way will bring.
  */
-enum config_need config_watch_heard(struct config_watch *w,
-				    const struct config_mark *m, int64_t now_ms)
+enum config_action config_watch_on_mark(struct config_watch *w,
+					const struct config_mark *m,
+					int64_t now_ms)
 {
 	if (is_newer(w, m))
 		return fetch(w, m, now_ms);
 	if (w->listed && w->version)
 		advance(w, m->pos,
 			m->age_ms == AGE_UNKNOWN ? 0 : now_ms - m->age_ms);
-	return CONFIG_KNOWN;
+	return CONFIG_NO_ACTION;
 }
 
 /*
@@ -393,8 +397,8 @@
 			     int64_t now_ms)
 {
 	bool waits = w->store.call == STORE_READ && w->failures == 0 &&
-		     now_ms - w->asked_ms < WAIT_MS + WAIT_LATE_MS;
-	int64_t at = MAX(w->fresh_ms, w->told_ms);
+		     now_ms - w->call_sent_ms < WAIT_MS + ANSWER_MARGIN_MS;
+	int64_t at = MAX(w->fresh_ms, w->peer_confirmed_ms);
 
 	if (!is_bookmark_valid(w))
 		return AGE_UNKNOWN;
@@ -409,7 +413,8 @@
  */
 bool config_watch_is_behind(const struct config_watch *w)
 {
-	return is_newer(w, &w->news) && w->news.digest != w->unfit_digest;
+	return is_newer(w, &w->newest_mark) &&
+	       w->newest_mark.digest != w->invalid_digest;
 }
 
 /* config_watch_mark() says how far this instance knows the configuration. */
@@ -432,11 +437,11 @@
 {
 	w->era_ms = now_ms;
 	w->fresh_ms = 0;
-	w->told_ms = 0;
+	w->peer_confirmed_ms = 0;
 	if (store_call_is_old(&w->store))
 		store_cancel(&w->store);
 	if (w->store.call == STORE_NO_CALL && w->polls)
-		ask_later(w, 0);
+		schedule_read(w, 0);
 }
 
 /* config_watch_start() begins to follow; `changed` owns what it gets. */
@@ -463,5 +468,5 @@
 void config_watch_restart(struct config_watch *w)
 {
 	store_cancel(&w->store);
-	ask_later(w, 0);
+	schedule_read(w, 0);
 }
--- a/control/config_watch.h
+++ b/control/config_watch.h
@@ -12,10 +12,10 @@
 #include "member/peers.h"
 
 /* What is to be done about a peer's word. */
-enum config_need {
-	CONFIG_KNOWN, /* nothing */
-	CONFIG_READ,  /* the store has a record that is new here */
-	CONFIG_ASK,   /* the peer has one; the store may have lost it */
+enum config_action {
+	CONFIG_NO_ACTION,  /* nothing */
+	CONFIG_READ_STORE, /* the store has a record that is new here */
+	CONFIG_ASK_PEER,   /* the peer has one; the store may have lost it */
 };
 
 struct config_watch {
@@ -29,19 +29,20 @@
 	bool relist;		   /* the store has nothing at `pos` any more */
 	struct store_position pos; /* records before it are taken in */
 	uint64_t version;	   /* the newest usable one; 0: none */
-	uint32_t unfit_digest;	   /* of a peer's record that can't be used */
+	uint32_t invalid_digest;   /* of a peer's record that can't be used */
 	struct config_mark
-		news;	   /* a peer's, that is newer than what is in force */
-	unsigned failures; /* in a row */
-	int64_t asked_ms;  /* the call under way was sent then */
-	bool patient;	   /* others find out when the store is back */
-	bool polls;	   /* a poll is to be under way all the time */
-	int64_t fresh_ms;  /* the store told of the newest record then */
-	int64_t told_ms;   /* a peer knew that there is nothing newer */
-	int64_t era_ms;	   /* the store's present era was heard of then */
-	struct store_position told; /* records before it are known to a peer */
+		newest_mark; /* a peer's, that is newer than what is in force */
+	unsigned failures;   /* in a row */
+	int64_t call_sent_ms; /* the call under way was sent then */
+	bool behind_hubs;     /* others find out when the store is back */
+	bool polls;	      /* a poll is to be under way all the time */
+	int64_t fresh_ms;     /* the store told of the newest record then */
+	int64_t peer_confirmed_ms; /* a peer knew that there is nothing newer */
+	int64_t era_ms; /* the store's present era was heard of then */
+	struct store_position
+		peer_pos;  /* records before it are known to a peer */
 	int64_t behind_ms; /* since then it is known that some are missing */
-	struct store_position behind_at; /* from there on */
+	struct store_position behind_pos; /* from there on */
 	void (*changed)(void *priv, struct config *c);
 	void *priv;
 };
@@ -51,16 +52,16 @@
 			const struct config_source *source,
 			void (*changed)(void *priv, struct config *c),
 			void *priv);
-void config_watch_introduce(struct config_watch *w, struct lstr record,
-			    struct store_position pos, int64_t told_ms);
+void config_watch_import(struct config_watch *w, struct lstr record,
+			 struct store_position pos, int64_t told_ms);
 void config_watch_tick(struct config_watch *w, bool may_ask, bool first,
 		       int64_t now_ms);
 void config_watch_read(struct config_watch *w);
-int config_watch_update(struct config_watch *w, struct lstr record,
-			struct store_position pos, int64_t told_ms);
-enum config_need config_watch_heard(struct config_watch *w,
-				    const struct config_mark *m,
-				    int64_t now_ms);
+int config_watch_apply_peer(struct config_watch *w, struct lstr record,
+			    struct store_position pos, int64_t told_ms);
+enum config_action config_watch_on_mark(struct config_watch *w,
+					const struct config_mark *m,
+					int64_t now_ms);
 bool config_watch_is_behind(const struct config_watch *w);
 void config_watch_new_era(struct config_watch *w, int64_t now_ms);
 struct config_mark config_watch_mark(const struct config_watch *w,
--- a/control/control.c
+++ b/control/control.c
@@ -27,15 +27,15 @@
 	 * Without the store an instance knows the others by then: they send
 	 * heartbeats also to those that seem lost, every 5 s.
 	 */
-	ACQUAINTED_MS = 6000,
+	DISCOVERY_MS = 6000,
 };
 
 /*
- * control_tell_traffic() sends the traffic thread a message. A listing of many servers
+ * control_send_traffic() sends the traffic thread a message. A listing of many servers
  * may fill the queue before that has had its turn; it never waits for this thread, so
  * waiting for it is safe.
  */
-void control_tell_traffic(struct control *c, int kind, void *data)
+void control_send_traffic(struct control *c, int kind, void *data)
 {
 	for (int i = 0; i < SEND_TRIES; i++) {
 		if (mailbox_send(c->out, kind, data) == 0)
@@ -69,11 +69,11 @@
 
 	*copy = *ch;
 	log_change(ch);
-	control_tell_traffic(priv, TO_TRAFFIC_BACKEND, copy);
+	control_send_traffic(priv, TO_TRAFFIC_BACKEND, copy);
 }
 
 /* What every datagram says of this instance. */
-static void stamp_self(struct control *c, int64_t now_ms)
+static void update_self(struct control *c, int64_t now_ms)
 {
 	struct peer_info *self = &c->peers.peers.self;
 
@@ -86,8 +86,9 @@
 	 */
 	self->config =
 		config_watch_mark(&c->config, c->backends.answered_ms, now_ms);
-	c->knew = c->knew || (c->config.version && c->backends.list.loaded);
-	self->ready = c->knew;
+	c->can_serve =
+		c->can_serve || (c->config.version && c->backends.list.loaded);
+	self->ready = c->can_serve;
 }
 
 /*
@@ -99,11 +100,11 @@
 	struct control *c = priv;
 	int64_t now_ms = clock_ms();
 
-	control_tell_traffic(c, TO_TRAFFIC_CONFIG, cfg);
+	control_send_traffic(c, TO_TRAFFIC_CONFIG, cfg);
 	if (!c->config.polls)
 		return;
-	stamp_self(c, now_ms);
-	peer_channel_beat_live(&c->peers, now_ms);
+	update_self(c, now_ms);
+	peer_channel_heartbeat_live(&c->peers, now_ms);
 }
 
 /* Passes the list on, unless nobody knows yet what the present era holds. */
@@ -123,8 +124,8 @@
 	unsigned rank = peers_rank(&c->peers.peers, now_ms);
 
 	control_publish_age(c);
-	stamp_self(c, now_ms);
-	feed(c, feeder_after_read(many, rank), now_ms);
+	update_self(c, now_ms);
+	feed(c, feeder_target_after_read(many, rank), now_ms);
 	if (recovered)
 		config_watch_restart(&c->config);
 }
@@ -134,14 +135,14 @@
  * it, as the store's calls are dear there.
  */
 static void fetch_config(struct control *c, const struct peer_info *peer,
-			 enum config_need need)
+			 enum config_action need)
 {
 	/* If another question is under way, the next heartbeat asks again. */
-	if (need == CONFIG_ASK)
-		(void)introduce_config(&c->introduce, peer, true);
-	else if (need == CONFIG_READ &&
+	if (need == CONFIG_ASK_PEER)
+		(void)peer_fetch_config(&c->peer_fetch, peer, true);
+	else if (need == CONFIG_READ_STORE &&
 		 (!hubs_serve(&c->peers.peers) ||
-		  introduce_config(&c->introduce, peer, false)))
+		  peer_fetch_config(&c->peer_fetch, peer, false)))
 		config_watch_read(&c->config);
 }
 
@@ -153,16 +154,17 @@
 
 	if (relay_from_peer(c, m))
 		return;
-	c->met = true;
+	c->heard_peer = true;
 	store_endpoint_learn(&c->store, m->sender.store_era, m->sender.name);
 	if (m->kind == GOSSIP_FEED) {
-		backend_watch_feed(&c->backends, &m->feed, now_ms);
+		backend_watch_apply_feed(&c->backends, &m->feed, now_ms);
 		control_publish_age(c);
 	}
 	if (m->kind == GOSSIP_CRASH)
-		crash_watch_heard(&c->crashes, m->sender.name, m->crashes);
-	fetch_config(c, &m->sender,
-		     config_watch_heard(&c->config, &m->sender.config, now_ms));
+		crash_watch_add_peer(&c->crashes, m->sender.name, m->crashes);
+	fetch_config(
+		c, &m->sender,
+		config_watch_on_mark(&c->config, &m->sender.config, now_ms));
 }
 
 /* Both hold elements of so many bytes. */
@@ -190,7 +192,7 @@
 /* Those that share what servers take; empty while they aren't known yet. */
 static GArray *sharers(const struct control *c, int64_t now_ms)
 {
-	bool known = c->record.listed || now_ms - c->started_ms > ACQUAINTED_MS;
+	bool known = c->record.listed || now_ms - c->started_ms > DISCOVERY_MS;
 
 	if (!known)
 		return g_array_new(FALSE, FALSE, sizeof(struct limit_sharer));
@@ -220,7 +222,7 @@
 	/* Both threads only read them, and hold them by a reference each. */
 	g_array_ref(v.named);
 	g_array_ref(v.sharers);
-	control_tell_traffic(c, TO_TRAFFIC_PEERS, g_memdup2(&v, sizeof(v)));
+	control_send_traffic(c, TO_TRAFFIC_PEERS, g_memdup2(&v, sizeof(v)));
 }
 
 static void log_lost_peers(struct control *c, int64_t now_ms)
@@ -234,16 +236,16 @@
 			 now_ms - p->heard_ms);
 }
 
-static struct start_view start_view(const struct control *c, int64_t now_ms)
+static struct start_state start_state(const struct control *c, int64_t now_ms)
 {
-	return (struct start_view){
-		.knows = c->knew,
+	return (struct start_state){
+		.done = c->can_serve,
 		.many = hubs_serve(&c->peers.peers),
 		.first = c->settings.first_start,
 		.listed = c->record.listed,
 		.listed_ms = c->record.listed_ms,
 		.ready = peers_ready(&c->peers.peers, now_ms),
-		.refused = c->introduce.refused,
+		.refused = c->peer_fetch.refused,
 		.failures = c->record.failures,
 		.rank = peers_start_rank(&c->peers.peers, now_ms),
 		.since_ms = c->started_ms,
@@ -251,12 +253,12 @@
 }
 
 /* Those that don't read the store go on from the bookmark of one that does. */
-static void tell_era(struct control *c, int64_t now_ms)
+static void announce_era(struct control *c, int64_t now_ms)
 {
-	if (!c->config.polls || c->config.pos.era == c->era_told)
+	if (!c->config.polls || c->config.pos.era == c->era_announced)
 		return;
-	c->era_told = c->config.pos.era;
-	peer_channel_beat_live(&c->peers, now_ms);
+	c->era_announced = c->config.pos.era;
+	peer_channel_heartbeat_live(&c->peers, now_ms);
 }
 
 /* Does all that is due. */
@@ -264,25 +266,25 @@
 {
 	int64_t now_ms = clock_ms();
 	unsigned rank = peers_rank(&c->peers.peers, now_ms);
-	struct start_view start = start_view(c, now_ms);
-	bool reads = start_reads_store(&start, now_ms);
+	struct start_state start = start_state(c, now_ms);
+	bool reads = start_should_read_store(&start, now_ms);
 	unsigned store_failures =
 		c->config.failures + c->backends.failures + c->record.failures;
 
-	c->config.patient = start.many && rank >= HUBS;
-	config_watch_tick(&c->config, reads || c->introduce.config_left,
+	c->config.behind_hubs = start.many && rank >= HUBS;
+	config_watch_tick(&c->config, reads || c->peer_fetch.config_too_large,
 			  rank < CONFIG_POLLERS, now_ms);
 	backend_watch_tick(&c->backends, reads, rank, start.many, now_ms);
 	control_publish_age(c);
-	control_publish_cost(c);
-	stamp_self(c, now_ms);
-	if (start_asks_peers(&start, store_failures))
-		introduce_tick(&c->introduce, store_failures > 0, now_ms);
+	control_publish_usage(c);
+	update_self(c, now_ms);
+	if (start_should_ask_peers(&start, store_failures))
+		peer_fetch_tick(&c->peer_fetch, store_failures > 0, now_ms);
 	feed(c,
-	     feeder_after_feed(&c->feeder, start.many, rank,
-			       c->backends.list.fresh_ms, now_ms),
+	     feeder_target_after_feed(&c->feeder, start.many, rank,
+				      c->backends.list.fresh_ms, now_ms),
 	     now_ms);
-	tell_era(c, now_ms);
+	announce_era(c, now_ms);
 	peer_channel_tick(&c->peers, now_ms);
 	crash_watch_tick(&c->crashes, rank, start.many);
 	record_check_tick(&c->records, rank == 0, now_ms);
@@ -309,22 +311,22 @@
 {
 	struct control *c = priv;
 
-	ev_timer_stop(c->loop, &c->era_risen);
-	ev_timer_start(c->loop, &c->era_risen);
+	ev_timer_stop(c->loop, &c->era_timer);
+	ev_timer_start(c->loop, &c->era_timer);
 }
 
 static void on_verdict(void *priv, const struct verdict *v)
 {
-	control_tell_traffic(priv, TO_TRAFFIC_VERDICT,
+	control_send_traffic(priv, TO_TRAFFIC_VERDICT,
 			     g_memdup2(v, sizeof(*v)));
 }
 
 /* Verdicts that stand in the store. */
-static void on_crash_records(void *priv, const GArray *news)
+static void on_stored_verdicts(void *priv, const GArray *news)
 {
 	struct control *c = priv;
 
-	crash_watch_stored(&c->crashes, news);
+	crash_watch_add_stored(&c->crashes, news);
 }
 
 /* The members are known: what to do next depends on how many there are. */
@@ -343,14 +345,14 @@
 	c->stopping_ms = clock_ms();
 	mp_event(EV_STOPPING, G_LOG_LEVEL_MESSAGE, "signal=%d", s->signum);
 	c->peers.peers.self.leaving = true;
-	peer_channel_beat_all(&c->peers, c->stopping_ms);
+	peer_channel_heartbeat_all(&c->peers, c->stopping_ms);
 	publish_peers(c, c->stopping_ms);
-	control_tell_traffic(c, TO_TRAFFIC_STOP, NULL);
+	control_send_traffic(c, TO_TRAFFIC_STOP, NULL);
 }
 
 /* Takes over changed settings and says which wait for the next start. */
-static void take_settings(struct control *c,
-			  const struct instance_settings *fresh)
+static void apply_settings(struct control *c,
+			   const struct instance_settings *fresh)
 {
 	struct buf all = {0}, rest = {0};
 
@@ -365,7 +367,7 @@
 	buf_free(&all);
 	buf_free(&rest);
 	mp_log_set_level(c->settings.log_level);
-	control_tell_traffic(
+	control_send_traffic(
 		c, TO_TRAFFIC_BOUNDS,
 		g_memdup2(&c->settings.bounds, sizeof(c->settings.bounds)));
 }
@@ -380,7 +382,7 @@
 		mp_event(EV_RELOADED, G_LOG_LEVEL_MESSAGE,
 			 "settings=bad; the old ones stay in force");
 	else
-		take_settings(c, &fresh);
+		apply_settings(c, &fresh);
 }
 
 static void from_traffic(void *priv, struct mail *m)
@@ -392,7 +394,7 @@
 		ev_break(c->loop, EVBREAK_ALL);
 		break;
 	case FROM_TRAFFIC_CRASH:
-		crash_watch_own(&c->crashes, m->data);
+		crash_watch_add_local(&c->crashes, m->data);
 		g_free(m->data);
 		break;
 	case FROM_TRAFFIC_LOAD:
@@ -440,8 +442,8 @@
 	rc = peer_channel_open(&c->peers, c->loop, s->peers, &self, on_peer, c);
 	if (rc)
 		return rc;
-	rc = introduce_init(&c->introduce, c->loop, s->peers, &c->peers.peers,
-			    &c->config, &c->backends);
+	rc = peer_fetch_init(&c->peer_fetch, c->loop, s->peers, &c->peers.peers,
+			     &c->config, &c->backends);
 	if (rc)
 		return rc;
 	mailbox_init(&c->in, c->loop, from_traffic, c);
@@ -457,15 +459,15 @@
 	struct sockaddr_in addr;
 
 	socket_addr(c->settings.store, &addr);
-	ev_timer_init(&c->era_risen, on_new_era, 0, 0);
-	c->era_risen.data = c;
+	ev_timer_init(&c->era_timer, on_new_era, 0, 0);
+	c->era_timer.data = c;
 	store_endpoint_init(&c->store, &addr, on_era_risen, c);
 	crash_watch_start(&c->crashes, c->loop, &c->store, &c->peers,
 			  on_verdict, c);
 	record_check_init(&c->records, c->loop, &c->store, &c->peers.peers,
 			  &c->crashes);
 	member_record_start(&c->record, c->loop, &c->store, &c->peers.peers,
-			    on_members, on_crash_records, c);
+			    on_members, on_stored_verdicts, c);
 	config_watch_start(&c->config, c->loop, &c->store, &c->source,
 			   on_config, c);
 	backend_watch_start(&c->backends, c->loop, &c->store, on_backend,
--- a/control/control.h
+++ b/control/control.h
@@ -10,7 +10,7 @@
 #include "control/config_watch.h"
 #include "control/crash_watch.h"
 #include "control/feeder.h"
-#include "control/introduce.h"
+#include "control/peer_fetch.h"
 #include "control/member_record.h"
 #include "control/peer_channel.h"
 #include "control/record_check.h"
@@ -73,20 +73,20 @@
 	struct peer_view last_view;
 	struct feeder feeder;
 	ev_timer tick;
-	ev_timer era_risen; /* at once, but not from within a call */
-	uint64_t era_told;  /* the configuration's, as peers were told */
+	ev_timer era_timer;	/* at once, but not from within a call */
+	uint64_t era_announced; /* the configuration's, as peers were told */
 	ev_signal term, interrupt, hup;
 	struct store_endpoint store;
 	struct config_source source;
 	struct config_watch config;
 	struct backend_watch backends;
 	struct member_record record;
-	struct introduce introduce;
+	struct peer_fetch peer_fetch;
 	struct crash_watch crashes;
 	struct record_check records;
 	int64_t started_ms;
-	bool met;  /* a peer was heard since the start */
-	bool knew; /* it has known what it needs to serve, and may serve */
+	bool heard_peer; /* a peer was heard since the start */
+	bool can_serve; /* it has known what it needs to serve, and may serve */
 	int64_t stopping_ms; /* 0: not stopping */
 	struct control_view view;
 };
@@ -95,6 +95,6 @@
 		 const struct settings_source *settings_source,
 		 const struct config_source *source, struct mailbox *out);
 void control_run(struct control *c);
-void control_tell_traffic(struct control *c, int kind, void *data);
+void control_send_traffic(struct control *c, int kind, void *data);
 
 #endif
--- a/control/crash_record.c
+++ b/control/crash_record.c
@@ -69,8 +69,8 @@
 		call_later(r, 0);
 }
 
-/* crash_record_waits() tells whether a write of the request's is to come. */
-bool crash_record_waits(const struct crash_record *r, uint64_t digest)
+/* crash_record_is_pending() tells whether a write of the request's is to come. */
+bool crash_record_is_pending(const struct crash_record *r, uint64_t digest)
 {
 	for (const GList *l = r->pending.head; l; l = l->next) {
 		const struct crash_news *news = l->data;
--- a/control/crash_record.h
+++ b/control/crash_record.h
@@ -26,7 +26,7 @@
 			const struct peer_info *self);
 void crash_record_batch(struct buf *batch, const struct peer_info *self,
 			const struct crash_news *news);
-bool crash_record_waits(const struct crash_record *r, uint64_t digest);
+bool crash_record_is_pending(const struct crash_record *r, uint64_t digest);
 void crash_record_put(struct crash_record *r, const struct crash_news *news);
 
 #endif
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -12,18 +12,18 @@
 	 * repetition are both lost once in 1,000 times where links lose 3 in
 	 * 100.
 	 */
-	EVIDENCE_AGAIN_MS = 20,
+	EVIDENCE_REPEAT_MS = 20,
 	/* Ends and answers to suspects: for 0.14 s. */
-	EVIDENCE_TELLS = 4,
+	EVIDENCE_SENDS = 4,
 	/*
 	 * Verdicts and what ends them: for 12.7 s, so that one that was cut off
 	 * hears of it, four times in the first second. To 132 peers that is
 	 * 0.1 MB, a tenth of what a link of 10 Mbit/s carries.
 	 */
-	VERDICT_AGAIN_MS = 100,
-	VERDICT_TELLS = 8,
+	VERDICT_REPEAT_MS = 100,
+	VERDICT_SENDS = 8,
 	/* Those that wait to be told again; the oldest are given up. */
-	TELLINGS_MAX = 1024,
+	BROADCASTS_MAX = 1024,
 };
 
 /* Something to be told to the others, and how often yet. */
@@ -55,13 +55,13 @@
 		 "digest=%016" PRIx64 " what=%s teller=%s ends=%u terms=%u "
 		 "last_end_ago_ms=%" G_GINT64_FORMAT
 		 " next_in_ms=%" G_GINT64_FORMAT " cases=%u",
-		 c->digest, changes[what].name, w->teller ? w->teller : "-",
+		 c->digest, changes[what].name, w->source ? w->source : "-",
 		 c->nends, c->terms, now_ms - c->last_end_ms,
 		 c->due_ms ? c->due_ms - now_ms : 0,
 		 g_hash_table_size(w->ledger.cases));
 }
 
-static void tell_traffic(struct crash_watch *w, const struct crash_case *c,
+static void send_verdict(struct crash_watch *w, const struct crash_case *c,
 			 enum crash_change what)
 {
 	struct verdict v = {
@@ -102,9 +102,9 @@
 	struct crash_news news[CRASH_NEWS_MAX];
 	unsigned n = 0;
 
-	for (guint i = 0; i < w->tellings->len; i++) {
+	for (guint i = 0; i < w->broadcasts->len; i++) {
 		const struct telling *t =
-			&g_array_index(w->tellings, struct telling, i);
+			&g_array_index(w->broadcasts, struct telling, i);
 
 		if (t->next_ms > now_ms || is_for_all(w, t) != to_all)
 			continue;
@@ -118,18 +118,18 @@
 }
 
 /* Plans the next repetition of those that were sent. */
-static void plan_again(struct crash_watch *w, int64_t now_ms)
+static void schedule_repeats(struct crash_watch *w, int64_t now_ms)
 {
-	for (guint i = 0; i < w->tellings->len;) {
+	for (guint i = 0; i < w->broadcasts->len;) {
 		struct telling *t =
-			&g_array_index(w->tellings, struct telling, i);
+			&g_array_index(w->broadcasts, struct telling, i);
 
 		if (t->next_ms > now_ms) {
 			i++;
 			continue;
 		}
 		if (--t->left == 0) {
-			g_array_remove_index(w->tellings, i);
+			g_array_remove_index(w->broadcasts, i);
 			continue;
 		}
 		t->next_ms = now_ms + t->gap_ms;
@@ -148,9 +148,9 @@
 {
 	int64_t due = judges(w) ? crash_ledger_due_ms(&w->ledger) : 0;
 
-	for (guint i = 0; i < w->tellings->len; i++) {
+	for (guint i = 0; i < w->broadcasts->len; i++) {
 		int64_t next =
-			g_array_index(w->tellings, struct telling, i).next_ms;
+			g_array_index(w->broadcasts, struct telling, i).next_ms;
 
 		due = !due || next < due ? next : due;
 	}
@@ -169,7 +169,7 @@
 		crash_ledger_judge(&w->ledger, now_ms);
 	send_due(w, true, now_ms);
 	send_due(w, false, now_ms);
-	plan_again(w, now_ms);
+	schedule_repeats(w, now_ms);
 	arm(w, now_ms);
 }
 
@@ -179,14 +179,14 @@
 }
 
 /* What was to be told of a request before is no longer so. */
-static void take_back(struct crash_watch *w, uint64_t digest)
+static void cancel_broadcasts(struct crash_watch *w, uint64_t digest)
 {
-	for (guint i = w->tellings->len; i > 0; i--) {
+	for (guint i = w->broadcasts->len; i > 0; i--) {
 		const struct telling *t =
-			&g_array_index(w->tellings, struct telling, i - 1);
+			&g_array_index(w->broadcasts, struct telling, i - 1);
 
 		if (t->news.digest == digest)
-			g_array_remove_index(w->tellings, i - 1);
+			g_array_remove_index(w->broadcasts, i - 1);
 	}
 }
 
@@ -198,13 +198,13 @@
 	struct telling t = {.news = *news,
 			    .left = times,
 			    .next_ms = now_ms,
-			    .gap_ms = times > EVIDENCE_TELLS
-					      ? VERDICT_AGAIN_MS
-					      : EVIDENCE_AGAIN_MS};
+			    .gap_ms = times > EVIDENCE_SENDS
+					      ? VERDICT_REPEAT_MS
+					      : EVIDENCE_REPEAT_MS};
 
-	if (w->tellings->len == TELLINGS_MAX)
-		g_array_remove_index(w->tellings, 0);
-	g_array_append_val(w->tellings, t);
+	if (w->broadcasts->len == BROADCASTS_MAX)
+		g_array_remove_index(w->broadcasts, 0);
+	g_array_append_val(w->broadcasts, t);
 	arm(w, now_ms);
 }
 
@@ -225,10 +225,10 @@
 		return;
 	if (!w->from_store)
 		crash_record_put(&w->record, &news);
-	if (w->teller)
+	if (w->source)
 		return;
-	take_back(w, c->digest);
-	tell(w, &news, VERDICT_TELLS);
+	cancel_broadcasts(w, c->digest);
+	tell(w, &news, VERDICT_SENDS);
 }
 
 /*
@@ -239,10 +239,10 @@
 			enum crash_change what)
 {
 	struct crash_news news = {CRASH_NEWS_ANSWERED, c->digest, 0};
-	bool own = what == CRASH_RELEASED ? !w->teller : w->rank == 0;
+	bool own = what == CRASH_RELEASED ? !w->source : w->rank == 0;
 
 	if (c->quarantined &&
-	    (own || crash_record_waits(&w->record, c->digest)))
+	    (own || crash_record_is_pending(&w->record, c->digest)))
 		crash_record_put(&w->record, &news);
 }
 
@@ -252,7 +252,7 @@
 	struct crash_watch *w = priv;
 
 	log_change(w, c, what, now_ms);
-	tell_traffic(w, c, what);
+	send_verdict(w, c, what);
 	if (what == CRASH_QUARANTINED)
 		announce(w, c);
 	else if (what == CRASH_RELEASED || what == CRASH_FORGOTTEN)
@@ -260,8 +260,8 @@
 }
 
 /* A request that nothing is held against needs no answer told. */
-static void take_answer(struct crash_watch *w, const struct crash_news *news,
-			int64_t now_ms)
+static void apply_answer(struct crash_watch *w, const struct crash_news *news,
+			 int64_t now_ms)
 {
 	const struct crash_case *c =
 		crash_ledger_find(&w->ledger, news->digest);
@@ -269,27 +269,27 @@
 
 	if (!c)
 		return;
-	take_back(w, news->digest);
+	cancel_broadcasts(w, news->digest);
 	/* In a large system the hubs pass on what ends a verdict of theirs. */
-	if (!w->teller || (verdict && w->many && w->rank < HUBS))
-		tell(w, news, verdict ? VERDICT_TELLS : EVIDENCE_TELLS);
+	if (!w->source || (verdict && w->many && w->rank < HUBS))
+		tell(w, news, verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
 	crash_ledger_answered(&w->ledger, news->digest, now_ms);
 }
 
 /* One that tells of an end doesn't know the verdict yet. */
-static void take_end(struct crash_watch *w, const struct crash_news *news,
-		     int64_t now_ms)
+static void apply_end(struct crash_watch *w, const struct crash_news *news,
+		      int64_t now_ms)
 {
 	const struct crash_case *c =
 		crash_ledger_find(&w->ledger, news->digest);
 	struct crash_news verdict;
 
-	if (c && c->quarantined && w->teller && w->rank < HUBS) {
+	if (c && c->quarantined && w->source && w->rank < HUBS) {
 		verdict = verdict_news(c);
 		tell(w, &verdict, 1);
 	}
-	if (!w->teller)
-		tell(w, news, EVIDENCE_TELLS);
+	if (!w->source)
+		tell(w, news, EVIDENCE_SENDS);
 	crash_ledger_end(&w->ledger, news->digest, news->detail, now_ms);
 }
 
@@ -299,10 +299,10 @@
 
 	switch (news->kind) {
 	case CRASH_NEWS_END:
-		take_end(w, news, now_ms);
+		apply_end(w, news, now_ms);
 		break;
 	case CRASH_NEWS_ANSWERED:
-		take_answer(w, news, now_ms);
+		apply_answer(w, news, now_ms);
 		break;
 	case CRASH_NEWS_QUARANTINE:
 		crash_ledger_quarantine(&w->ledger, news->digest, news->detail,
@@ -312,34 +312,34 @@
 	arm(w, now_ms);
 }
 
-/* crash_watch_own() takes in what this instance's traffic saw. */
-void crash_watch_own(struct crash_watch *w, const struct crash_news *news)
+/* crash_watch_add_local() takes in what this instance's traffic saw. */
+void crash_watch_add_local(struct crash_watch *w, const struct crash_news *news)
 {
-	w->teller = NULL;
+	w->source = NULL;
 	take(w, news);
 }
 
-static void take_all(struct crash_watch *w, const char *teller,
-		     const GArray *news)
+static void apply_all(struct crash_watch *w, const char *teller,
+		      const GArray *news)
 {
-	w->teller = teller;
+	w->source = teller;
 	for (guint i = 0; i < news->len; i++)
 		take(w, &g_array_index(news, struct crash_news, i));
-	w->teller = NULL;
+	w->source = NULL;
 }
 
-/* crash_watch_heard() takes in news of a peer. */
-void crash_watch_heard(struct crash_watch *w, const char *teller,
-		       const GArray *news)
+/* crash_watch_add_peer() takes in news of a peer. */
+void crash_watch_add_peer(struct crash_watch *w, const char *teller,
+			  const GArray *news)
 {
-	take_all(w, teller, news);
+	apply_all(w, teller, news);
 }
 
-/* crash_watch_stored() takes in verdicts that stand in the store. */
-void crash_watch_stored(struct crash_watch *w, const GArray *news)
+/* crash_watch_add_stored() takes in verdicts that stand in the store. */
+void crash_watch_add_stored(struct crash_watch *w, const GArray *news)
 {
 	w->from_store = true;
-	take_all(w, "store", news);
+	apply_all(w, "store", news);
 	w->from_store = false;
 }
 
@@ -365,13 +365,13 @@
 }
 
 /* Tells those that have just joined which requests are refused. */
-static void tell_verdicts(struct crash_watch *w)
+static void broadcast_verdicts(struct crash_watch *w)
 {
 	GArray *all = crash_watch_verdicts(w);
 
 	for (guint i = 0; i < all->len; i++)
 		tell(w, &g_array_index(all, struct crash_news, i),
-		     EVIDENCE_TELLS);
+		     EVIDENCE_SENDS);
 	g_array_unref(all);
 }
 
@@ -381,7 +381,7 @@
 	w->rank = rank;
 	w->many = many;
 	if (w->joins != w->channel->joins && rank < HUBS)
-		tell_verdicts(w);
+		broadcast_verdicts(w);
 	w->joins = w->channel->joins;
 	crash_ledger_tick(&w->ledger, rank == 0, clock_ms());
 	/* It may be one of those that judge by now. */
@@ -403,7 +403,7 @@
 	w->channel = channel;
 	w->verdict = verdict;
 	w->priv = priv;
-	w->tellings = g_array_new(FALSE, FALSE, sizeof(struct telling));
+	w->broadcasts = g_array_new(FALSE, FALSE, sizeof(struct telling));
 	crash_ledger_init(&w->ledger, on_change, w);
 	crash_record_start(&w->record, loop, store, &channel->peers.self);
 	ev_init(&w->due, on_due);
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -22,11 +22,11 @@
 	struct peer_channel *channel;
 	struct crash_record record;
 	ev_timer due;	    /* of the next judgement or telling */
-	GArray *tellings;   /* struct telling */
+	GArray *broadcasts; /* struct telling */
 	unsigned rank;	    /* live instances before this one */
 	bool many;	    /* the system is a large one */
 	unsigned joins;	    /* of the channel that were answered */
-	const char *teller; /* whose news are taken in; NULL: own ones */
+	const char *source; /* whose news are taken in; NULL: own ones */
 	bool from_store;    /* these stand in the store */
 	void (*verdict)(void *priv, const struct verdict *v);
 	void *priv;
@@ -37,10 +37,11 @@
 		       struct peer_channel *channel,
 		       void (*verdict)(void *priv, const struct verdict *v),
 		       void *priv);
-void crash_watch_own(struct crash_watch *w, const struct crash_news *news);
-void crash_watch_heard(struct crash_watch *w, const char *teller,
-		       const GArray *news);
-void crash_watch_stored(struct crash_watch *w, const GArray *news);
+void crash_watch_add_local(struct crash_watch *w,
+			   const struct crash_news *news);
+void crash_watch_add_peer(struct crash_watch *w, const char *teller,
+			  const GArray *news);
+void crash_watch_add_stored(struct crash_watch *w, const GArray *news);
 GArray *crash_watch_verdicts(const struct crash_watch *w);
 void crash_watch_tick(struct crash_watch *w, unsigned rank, bool many);
 
--- a/control/ended_servers.c
+++ b/control/ended_servers.c
@@ -4,11 +4,11 @@
 
 enum {
 	/* Writes without an answer are done seconds later. */
-	LATE_MS = 10 * 1000,
+	STALE_WRITE_MS = 10 * 1000,
 	/* A copy is some seconds old; what has left before it isn't in it. */
-	COPY_MS = 60 * 1000,
+	BACKUP_AGE_MAX_MS = 60 * 1000,
 	/* Beyond so many those that nothing can name any more are forgotten. */
-	ENDED_KEPT = 1024,
+	REMOVED_MAX = 1024,
 };
 
 struct ended_server {
@@ -27,7 +27,7 @@
 {
 	const struct ended_server *x = value;
 
-	return *(const int64_t *)now_ms - x->at_ms >= COPY_MS;
+	return *(const int64_t *)now_ms - x->at_ms >= BACKUP_AGE_MAX_MS;
 }
 
 /* ended_servers_add() remembers the last word of a server that is taken off. */
@@ -36,7 +36,7 @@
 {
 	struct ended_server *x = g_new0(struct ended_server, 1);
 
-	if (g_hash_table_size(s->by_id) >= ENDED_KEPT)
+	if (g_hash_table_size(s->by_id) >= REMOVED_MAX)
 		g_hash_table_foreach_remove(s->by_id, is_over, &now_ms);
 	x->entry = *e;
 	x->pos = pos;
@@ -62,22 +62,23 @@
 }
 
 /*
- * ended_servers_judge() tells what an entry is worth that stands at `pos`. In a
+ * ended_servers_classify() tells what an entry is worth that stands at `pos`. In a
  * later era than the removal it may come from the copy.
  */
-enum ended_word ended_servers_judge(const struct ended_servers *s,
-				    const struct backend_entry *said,
-				    struct store_position pos, int64_t now_ms)
+enum entry_status ended_servers_classify(const struct ended_servers *s,
+					 const struct backend_entry *said,
+					 struct store_position pos,
+					 int64_t now_ms)
 {
 	const struct ended_server *x = g_hash_table_lookup(s->by_id, said->id);
 	int64_t ago_ms = x ? now_ms - x->at_ms : 0;
 
 	if (!x)
-		return ENDED_NEWS;
-	if (pos.era > x->pos.era && ago_ms < COPY_MS &&
+		return ENTRY_NEW;
+	if (pos.era > x->pos.era && ago_ms < BACKUP_AGE_MAX_MS &&
 	    !backend_entry_is_newer(said, &x->entry))
-		return ENDED_DOUBT;
-	if (ago_ms < LATE_MS && backend_entry_is_older(said, &x->entry))
-		return ENDED_LATE;
-	return ENDED_NEWS;
+		return ENTRY_UNCONFIRMED;
+	if (ago_ms < STALE_WRITE_MS && backend_entry_is_older(said, &x->entry))
+		return ENTRY_STALE;
+	return ENTRY_NEW;
 }
--- a/control/ended_servers.h
+++ b/control/ended_servers.h
@@ -13,10 +13,10 @@
 };
 
 /* What an entry says of a server that is off the list. */
-enum ended_word {
-	ENDED_NEWS,  /* the server is back, or was never off */
-	ENDED_LATE,  /* an earlier word: it says nothing */
-	ENDED_DOUBT, /* the copy has it; the server may have left, or be back */
+enum entry_status {
+	ENTRY_NEW,	   /* the server is back, or was never off */
+	ENTRY_STALE,	   /* an earlier word: it says nothing */
+	ENTRY_UNCONFIRMED, /* the copy has it; the server may have left, or be back */
 };
 
 void ended_servers_init(struct ended_servers *s);
@@ -24,8 +24,9 @@
 		       struct store_position pos, int64_t now_ms);
 unsigned ended_servers_count(const struct ended_servers *s, const char *service,
 			     int64_t since_ms);
-enum ended_word ended_servers_judge(const struct ended_servers *s,
-				    const struct backend_entry *said,
-				    struct store_position pos, int64_t now_ms);
+enum entry_status ended_servers_classify(const struct ended_servers *s,
+					 const struct backend_entry *said,
+					 struct store_position pos,
+					 int64_t now_ms);
 
 #endif
--- a/control/feeder.c
+++ b/control/feeder.c
@@ -13,26 +13,27 @@
 };
 
 /*
- * feeder_after_read() tells whom to feed what was just read. When the store
+ * feeder_target_after_read() tells whom to feed what was just read. When the store
  * comes back in a large system all may read at once; if each fed each, the
  * changes of 432 servers would be 450 MB. So only hubs feed all, and others
  * tell the hubs what those could not read.
  */
-enum feed_to feeder_after_read(bool many, unsigned rank)
+enum feed_to feeder_target_after_read(bool many, unsigned rank)
 {
 	return many && rank >= HUBS ? FEED_HUBS : FEED_ALL;
 }
 
 /*
- * feeder_after_feed() tells whether this instance is to pass on what others
+ * feeder_target_after_feed() tells whether this instance is to pass on what others
  * read: the first hub, when the list has become fresher since its last feed.
  */
-enum feed_to feeder_after_feed(const struct feeder *f, bool many, unsigned rank,
-			       int64_t list_fresh_ms, int64_t now_ms)
+enum feed_to feeder_target_after_feed(const struct feeder *f, bool many,
+				      unsigned rank, int64_t list_fresh_ms,
+				      int64_t now_ms)
 {
 	if (!many || rank != 0 || list_fresh_ms <= f->fresh_ms)
-		return FEED_NOBODY;
-	return now_ms - f->sent_ms >= RELAY_MS ? FEED_ALL : FEED_NOBODY;
+		return FEED_NONE;
+	return now_ms - f->sent_ms >= RELAY_MS ? FEED_ALL : FEED_NONE;
 }
 
 /* feeder_send() sends the list's changes of late. */
@@ -43,11 +44,11 @@
 	struct buf b = {0};
 	guint at;
 
-	if (to == FEED_NOBODY)
+	if (to == FEED_NONE)
 		return;
-	backend_list_outline(list, &feed, now_ms);
+	backend_list_build_feed(list, &feed, now_ms);
 	at = gossip_feed_begin(
-		&feed, ch->joined ? (struct store_position){0} : f->told_to,
+		&feed, ch->joined ? (struct store_position){0} : f->sent_pos,
 		CHANGES_MAX);
 	ch->joined = false;
 	do {
@@ -59,7 +60,7 @@
 			peer_channel_send_hubs(ch, &b, now_ms);
 	} while (at < feed.changes->len);
 	buf_free(&b);
-	f->told_to = feed.to;
+	f->sent_pos = feed.to;
 	f->fresh_ms = list->fresh_ms;
 	f->sent_ms = now_ms;
 }
--- a/control/feeder.h
+++ b/control/feeder.h
@@ -8,17 +8,18 @@
 #include "control/backend_list.h"
 #include "control/peer_channel.h"
 
-enum feed_to { FEED_NOBODY, FEED_HUBS, FEED_ALL };
+enum feed_to { FEED_NONE, FEED_HUBS, FEED_ALL };
 
 struct feeder {
-	struct store_position told_to; /* changes before it were sent */
+	struct store_position sent_pos; /* changes before it were sent */
 	int64_t fresh_ms; /* the list was complete as of then when sent */
 	int64_t sent_ms;
 };
 
-enum feed_to feeder_after_read(bool many, unsigned rank);
-enum feed_to feeder_after_feed(const struct feeder *f, bool many, unsigned rank,
-			       int64_t list_fresh_ms, int64_t now_ms);
+enum feed_to feeder_target_after_read(bool many, unsigned rank);
+enum feed_to feeder_target_after_feed(const struct feeder *f, bool many,
+				      unsigned rank, int64_t list_fresh_ms,
+				      int64_t now_ms);
 void feeder_send(struct feeder *f, struct peer_channel *ch,
 		 struct backend_list *list, enum feed_to to, int64_t now_ms);
 
--- a/control/member_record.c
+++ b/control/member_record.c
@@ -35,7 +35,7 @@
 	ev_timer_start(m->loop, &m->retry);
 }
 
-static void take_members(struct member_record *m, const struct store_result *r)
+static void apply_members(struct member_record *m, const struct store_result *r)
 {
 	for (size_t i = 0; i < r->nrecords; i++) {
 		struct gossip_message msg;
@@ -74,7 +74,7 @@
 		call_later(m, 0);
 		return;
 	}
-	take_members(m, r);
+	apply_members(m, r);
 	if (r->more)
 		store_newest(&m->store, STORE_TOPIC_MEMBERS, r->last_key);
 	else {
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -88,11 +88,11 @@
 }
 
 /*
- * peer_channel_call() sends a grant to the one it is for; a question to the one
+ * peer_channel_send_limit_call() sends a grant to the one it is for; a question to the one
  * that is named, if it lives, and to another.
  */
-void peer_channel_call(struct peer_channel *ch, struct limit_call *call,
-		       int64_t now_ms)
+void peer_channel_send_limit_call(struct peer_channel *ch,
+				  struct limit_call *call, int64_t now_ms)
 {
 	const struct peer *named = hubs_find(&ch->peers, call->to);
 	const struct peer *other = call->grant ? NULL : any_live(ch, now_ms);
@@ -108,10 +108,10 @@
 }
 
 /* Whom a heartbeat goes to now. */
-enum addressees { TO_DUE, TO_LIVE, TO_ALL };
+enum heartbeat_targets { TO_DUE, TO_LIVE, TO_ALL };
 
-static void send_beats(struct peer_channel *ch, int64_t now_ms,
-		       enum addressees to)
+static void send_heartbeats(struct peer_channel *ch, int64_t now_ms,
+			    enum heartbeat_targets to)
 {
 	struct buf b = {0};
 
@@ -126,16 +126,16 @@
 	buf_free(&b);
 }
 
-/* peer_channel_beat_live() tells the live ones at once what changed here. */
-void peer_channel_beat_live(struct peer_channel *ch, int64_t now_ms)
+/* peer_channel_heartbeat_live() tells the live ones at once what changed here. */
+void peer_channel_heartbeat_live(struct peer_channel *ch, int64_t now_ms)
 {
-	send_beats(ch, now_ms, TO_LIVE);
+	send_heartbeats(ch, now_ms, TO_LIVE);
 }
 
-/* peer_channel_beat_all() tells also those that seem gone. */
-void peer_channel_beat_all(struct peer_channel *ch, int64_t now_ms)
+/* peer_channel_heartbeat_all() tells also those that seem gone. */
+void peer_channel_heartbeat_all(struct peer_channel *ch, int64_t now_ms)
 {
-	send_beats(ch, now_ms, TO_ALL);
+	send_heartbeats(ch, now_ms, TO_ALL);
 }
 
 /* Sends the whole roll to one peer, or to all live ones. */
@@ -166,10 +166,10 @@
 	roll_init(&r);
 	hubs_write_roll(&ch->peers, &r, now_ms);
 	digest = roll_digest(&r);
-	if (digest != ch->roll_digest || ch->rolled_ms == 0)
+	if (digest != ch->roll_digest || ch->roll_sent_ms == 0)
 		ch->roll_changed_ms = now_ms;
 	ch->roll_digest = digest;
-	ch->rolled_ms = now_ms;
+	ch->roll_sent_ms = now_ms;
 	if (now_ms - ch->roll_changed_ms < ROLL_WHOLE_MS) {
 		send_whole_roll(ch, &r, NULL, now_ms);
 	} else {
@@ -195,8 +195,8 @@
 	roll_clear(&r);
 }
 
-static void take_digest(struct peer_channel *ch, const struct gossip_message *m,
-			int64_t now_ms)
+static void apply_digest(struct peer_channel *ch,
+			 const struct gossip_message *m, int64_t now_ms)
 {
 	struct peer *hub = peers_find(&ch->peers, m->sender.name);
 	struct buf b = {0};
@@ -209,8 +209,8 @@
 }
 
 /* Asks the sender of a roll who those are that it names. */
-static void ask_who(struct peer_channel *ch, struct peer *hub,
-		    const GArray *ids, int64_t now_ms)
+static void request_person(struct peer_channel *ch, struct peer *hub,
+			   const GArray *ids, int64_t now_ms)
 {
 	for (guint i = 0; hub && i < ids->len; i++) {
 		struct buf b = {0};
@@ -222,18 +222,19 @@
 	}
 }
 
-static void take_roll(struct peer_channel *ch, const struct gossip_message *m,
-		      int64_t now_ms)
+static void apply_roll(struct peer_channel *ch, const struct gossip_message *m,
+		       int64_t now_ms)
 {
 	GArray *unknown = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
 	hubs_take_roll(&ch->peers, &m->roll, unknown, now_ms);
-	ask_who(ch, peers_find(&ch->peers, m->sender.name), unknown, now_ms);
+	request_person(ch, peers_find(&ch->peers, m->sender.name), unknown,
+		       now_ms);
 	g_array_unref(unknown);
 }
 
-static void answer_who(struct peer_channel *ch, const struct gossip_message *m,
-		       int64_t now_ms)
+static void reply_person(struct peer_channel *ch,
+			 const struct gossip_message *m, int64_t now_ms)
 {
 	struct peer *asker = peers_find(&ch->peers, m->sender.name);
 	const struct peer *p = hubs_find(&ch->peers, m->who);
@@ -271,13 +272,13 @@
 	    peers_heard(&ch->peers, &m->sender, now_ms))
 		welcome(ch, &m->sender, now_ms);
 	if (m->kind == GOSSIP_ROLL)
-		take_roll(ch, m, now_ms);
+		apply_roll(ch, m, now_ms);
 	else if (m->kind == GOSSIP_SAME)
-		take_digest(ch, m, now_ms);
+		apply_digest(ch, m, now_ms);
 	else if (m->kind == GOSSIP_AGAIN)
 		send_roll_again(ch, m->sender.name, now_ms);
 	else if (m->kind == GOSSIP_WHO)
-		answer_who(ch, m, now_ms);
+		reply_person(ch, m, now_ms);
 	else if (m->kind == GOSSIP_PERSON)
 		peers_add(&ch->peers, &m->person, now_ms);
 	ch->received(ch->priv, m);
@@ -308,9 +309,9 @@
 void peer_channel_tick(struct peer_channel *ch, int64_t now_ms)
 {
 	hubs_mark(&ch->peers, now_ms);
-	if (hubs_roll_due(&ch->peers, ch->rolled_ms, now_ms))
+	if (hubs_roll_due(&ch->peers, ch->roll_sent_ms, now_ms))
 		send_roll(ch, now_ms);
-	send_beats(ch, now_ms, TO_DUE);
+	send_heartbeats(ch, now_ms, TO_DUE);
 }
 
 /*
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -18,7 +18,7 @@
 	bool joined;		 /* a peer is new; it hasn't heard of changes */
 	uint32_t roll_digest;	 /* of the last one sent */
 	int64_t roll_changed_ms; /* it was another then */
-	int64_t rolled_ms;	 /* this instance's last roll; 0: none */
+	int64_t roll_sent_ms;	 /* this instance's last roll; 0: none */
 	uint64_t bytes_in, bytes_out;
 	/* A message that is not only about who lives. */
 	void (*received)(void *priv, const struct gossip_message *m);
@@ -37,9 +37,9 @@
 			     int64_t now_ms);
 void peer_channel_send_hubs(struct peer_channel *ch, const struct buf *b,
 			    int64_t now_ms);
-void peer_channel_call(struct peer_channel *ch, struct limit_call *call,
-		       int64_t now_ms);
-void peer_channel_beat_live(struct peer_channel *ch, int64_t now_ms);
-void peer_channel_beat_all(struct peer_channel *ch, int64_t now_ms);
+void peer_channel_send_limit_call(struct peer_channel *ch,
+				  struct limit_call *call, int64_t now_ms);
+void peer_channel_heartbeat_live(struct peer_channel *ch, int64_t now_ms);
+void peer_channel_heartbeat_all(struct peer_channel *ch, int64_t now_ms);
 
 #endif
--- a/control/introduce.c
+++ b/control/peer_fetch.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "common/event.h"
-#include "control/introduce.h"
+#include "control/peer_fetch.h"
 #include "misc/clock.h"
 
 enum {
@@ -20,21 +20,21 @@
 	 * Snapshots at once. More don't come sooner: eight of 30 KB take 0.2 s
 	 * on a link of 10 Mbit/s; the others ask elsewhere.
 	 */
-	ANSWERS_MAX = 8,
+	CONCURRENT_ANSWERS_MAX = 8,
 };
 
 static const double ASK_TIMEOUT_S = 0.5;
 static const double SERVER_TIMEOUT_S = 5;
 
 /* All that is known; without a large configuration; a small one only. */
-#define WHOLE_PATH    LSTR("/snapshot/whole")
-#define SNAPSHOT_PATH LSTR("/snapshot")
-#define CONFIG_PATH   LSTR("/config")
+#define SNAPSHOT_WHOLE_PATH LSTR("/snapshot/whole")
+#define SNAPSHOT_PATH	    LSTR("/snapshot")
+#define CONFIG_PATH	    LSTR("/config")
 /* A version of any size, which the store may have lost. */
 #define CONFIG_WHOLE_PATH LSTR("/config/whole")
 
 /* Writes what this instance knows of the configuration, the list, or both. */
-static void write_own(const struct introduce *in, bool config, bool backends,
+static void write_own(const struct peer_fetch *in, bool config, bool backends,
 		      struct buf *body)
 {
 	struct snapshot s;
@@ -60,7 +60,7 @@
 }
 
 /* Answers with a status, and with a body if that is 200. */
-static unsigned answer(const struct introduce *in, struct lstr path,
+static unsigned answer(const struct peer_fetch *in, struct lstr path,
 		       struct buf *body)
 {
 	bool small = in->config->record.len <= CONFIG_MAX;
@@ -68,9 +68,9 @@
 
 	/* A version is small, and all ask for it at the same moment. */
 	if (!in->peers->self.ready ||
-	    (!version && in->server.nconns > ANSWERS_MAX))
+	    (!version && in->server.nconns > CONCURRENT_ANSWERS_MAX))
 		return 503;
-	if (lstr_eq(path, WHOLE_PATH))
+	if (lstr_eq(path, SNAPSHOT_WHOLE_PATH))
 		write_own(in, true, true, body);
 	else if (lstr_eq(path, SNAPSHOT_PATH))
 		write_own(in, small, true, body);
@@ -96,35 +96,36 @@
 static const struct http_server_ops server_ops = {on_request, NULL};
 
 /* Takes over what isn't known here by now. */
-static void take(struct introduce *in, const struct snapshot *s)
+static void take(struct peer_fetch *in, const struct snapshot *s)
 {
 	bool config = in->config->version == 0;
 	bool backends = !in->backends->list.loaded;
 
-	in->config_left = config && !s->has_config;
+	in->config_too_large = config && !s->has_config;
 	if (config && s->has_config)
-		config_watch_introduce(in->config, buf_lstr(&s->config),
-				       s->config_pos,
-				       clock_ms() - s->config_age_ms);
+		config_watch_import(in->config, buf_lstr(&s->config),
+				    s->config_pos,
+				    clock_ms() - s->config_age_ms);
 	if (backends)
 		backend_list_import(
 			&in->backends->list, s->backends, s->backends_pos,
 			clock_ms() - s->backends_age_ms, clock_ms());
 	mp_event(EV_PEER_INTRODUCED, G_LOG_LEVEL_MESSAGE,
 		 "peer=%s config=%s backends=%s servers=%u age_ms=%u",
-		 in->asked.name,
-		 in->config_left ? "left"
-		 : config	 ? "taken"
-				 : "known",
+		 in->target.name,
+		 in->config_too_large ? "left"
+		 : config	      ? "taken"
+				      : "known",
 		 backends ? "taken" : "known", s->backends->len,
 		 s->backends_age_ms);
 }
 
 /* A version that is new here; if it can't be used the store is read. */
-static void take_config(struct introduce *in, const struct snapshot *s)
+static void take_config(struct peer_fetch *in, const struct snapshot *s)
 {
-	if (config_watch_update(in->config, buf_lstr(&s->config), s->config_pos,
-				clock_ms() - s->config_age_ms))
+	if (config_watch_apply_peer(in->config, buf_lstr(&s->config),
+				    s->config_pos,
+				    clock_ms() - s->config_age_ms))
 		config_watch_read(in->config);
 }
 
@@ -134,11 +135,12 @@
 }
 
 /* A peer that is busy says 503 and isn't at fault. */
-static void no_answer(struct introduce *in, unsigned status, const char *err)
+static void on_no_answer(struct peer_fetch *in, unsigned status,
+			 const char *err)
 {
 	in->refused++;
 	mp_event(EV_PEER_SILENT, G_LOG_LEVEL_MESSAGE,
-		 "peer=%s what=%s status=%u err=%s", in->asked.name,
+		 "peer=%s what=%s status=%u err=%s", in->target.name,
 		 in->config_only ? "config" : "snapshot", status,
 		 err ? err : "-");
 	if (in->config_only)
@@ -147,12 +149,12 @@
 
 static void on_response(void *priv, struct http_message *m)
 {
-	struct introduce *in = priv;
+	struct peer_fetch *in = priv;
 	struct snapshot s;
 
 	snapshot_init(&s);
 	if (m->status != 200 || snapshot_read(buf_lstr(&m->body), &s))
-		no_answer(in, m->status, NULL);
+		on_no_answer(in, m->status, NULL);
 	else if (in->config_only)
 		take_config(in, &s);
 	else
@@ -164,13 +166,13 @@
 
 static void on_failed(void *priv, int err, bool sent)
 {
-	no_answer(priv, 0, g_strerror(-err));
+	on_no_answer(priv, 0, g_strerror(-err));
 }
 
 static const struct http_client_ops client_ops = {
 	.judge = judge, .response = on_response, .failed = on_failed};
 
-static int ask(struct introduce *in, const struct peer_info *peer,
+static int ask(struct peer_fetch *in, const struct peer_info *peer,
 	       struct lstr path)
 {
 	struct http_limits limits = {.head_max = HEAD_MAX,
@@ -178,7 +180,7 @@
 	struct buf b = {0};
 	int rc;
 
-	in->asked = *peer;
+	in->target = *peer;
 	in->config_only =
 		lstr_eq(path, CONFIG_PATH) || lstr_eq(path, CONFIG_WHOLE_PATH);
 	rc = http_client_open(&in->client, in->loop, &peer->addr, ASK_TIMEOUT_S,
@@ -193,13 +195,13 @@
 }
 
 /*
- * introduce_config() asks a peer for the version that it has; the store is
+ * peer_fetch_config() asks a peer for the version that it has; the store is
  * read if that brings nothing. `whole`: a large one too, as the store may have
  * lost it. Returns 0 when a peer is asked, by this call or an earlier one, or a
  * negative errno.
  */
-int introduce_config(struct introduce *in, const struct peer_info *peer,
-		     bool whole)
+int peer_fetch_config(struct peer_fetch *in, const struct peer_info *peer,
+		      bool whole)
 {
 	if (in->client.state != CLIENT_CLOSED)
 		return in->config_only ? 0 : -EBUSY;
@@ -207,10 +209,10 @@
 }
 
 /*
- * introduce_tick() asks the next peer when it is time; call it often. `whole`:
+ * peer_fetch_tick() asks the next peer when it is time; call it often. `whole`:
  * for a large configuration too, as the store doesn't answer.
  */
-void introduce_tick(struct introduce *in, bool whole, int64_t now_ms)
+void peer_fetch_tick(struct peer_fetch *in, bool whole, int64_t now_ms)
 {
 	const struct peer *p;
 
@@ -222,16 +224,16 @@
 		return;
 	in->asked_ms = now_ms;
 	/* If that fails at once another is asked next time. */
-	(void)ask(in, &p->info, whole ? WHOLE_PATH : SNAPSHOT_PATH);
+	(void)ask(in, &p->info, whole ? SNAPSHOT_WHOLE_PATH : SNAPSHOT_PATH);
 }
 
 /*
- * introduce_init() listens for the questions of others on the peers' address
+ * peer_fetch_init() listens for the questions of others on the peers' address
  * (TCP; heartbeats are UDP). Returns 0 or a negative errno.
  */
-int introduce_init(struct introduce *in, struct ev_loop *loop,
-		   const char *listen, struct peer_table *peers,
-		   struct config_watch *config, struct backend_watch *backends)
+int peer_fetch_init(struct peer_fetch *in, struct ev_loop *loop,
+		    const char *listen, struct peer_table *peers,
+		    struct config_watch *config, struct backend_watch *backends)
 {
 	memset(in, 0, sizeof(*in));
 	in->loop = loop;
--- a/control/publish.c
+++ b/control/publish.c
@@ -6,17 +6,18 @@
 #include "misc/clock.h"
 
 /* A peer that lives has answered the first heartbeat by then. */
-enum { MEET_MS = 1000 };
+enum { FIRST_HEARTBEAT_MS = 1000 };
 
 /*
  * The store may have come back without a version that the peers know, so an
  * instance that has just started is sure of none before it has heard of them.
  */
-static bool is_sure_of_config(const struct control *c, int64_t now_ms)
+static bool is_config_confirmed(const struct control *c, int64_t now_ms)
 {
-	bool alone = c->record.listed && now_ms - c->record.listed_ms > MEET_MS;
+	bool alone = c->record.listed &&
+		     now_ms - c->record.listed_ms > FIRST_HEARTBEAT_MS;
 
-	return (c->met || alone) && !config_watch_is_behind(&c->config);
+	return (c->heard_peer || alone) && !config_watch_is_behind(&c->config);
 }
 
 /* control_publish_age() publishes how old the list and the configuration are. */
@@ -24,7 +25,7 @@
 {
 	int64_t now_ms = clock_ms();
 	uint32_t config_age_ms =
-		is_sure_of_config(c, now_ms)
+		is_config_confirmed(c, now_ms)
 			? config_watch_age_ms(&c->config,
 					      c->backends.answered_ms, now_ms)
 			: AGE_UNKNOWN;
@@ -40,8 +41,8 @@
 					  : now_ms - AGE_UNKNOWN));
 }
 
-/* control_publish_cost() publishes what the control thread has cost so far. */
-void control_publish_cost(struct control *c)
+/* control_publish_usage() publishes what the control thread has cost so far. */
+void control_publish_usage(struct control *c)
 {
 	const struct store_channel *channels[] = {
 		&c->config.store, &c->backends.store, &c->record.store,
--- a/control/publish.h
+++ b/control/publish.h
@@ -5,6 +5,6 @@
 #include "control/control.h"
 
 void control_publish_age(struct control *c);
-void control_publish_cost(struct control *c);
+void control_publish_usage(struct control *c);
 
 #endif
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -16,14 +16,14 @@
 	BATCH_MAX = 1 << 20,
 };
 
-static void forget_listing(struct record_check *r)
+static void clear_listing(struct record_check *r)
 {
 	g_hash_table_remove_all(r->boots);
 	g_array_set_size(r->verdicts, 0);
 }
 
 /* Takes in one record; members that were unknown are known from then on. */
-static void take_record(struct record_check *r, const struct store_record *rec)
+static void apply_record(struct record_check *r, const struct store_record *rec)
 {
 	struct gossip_message m;
 
@@ -138,22 +138,22 @@
 		 " members=%u verdicts=%u dropped=%u found=%u",
 		 era, members, verdicts, dropped,
 		 g_hash_table_size(r->boots) + r->verdicts->len);
-	r->wrote = batch.len > 0;
-	r->whole = batch.len <= BATCH_MAX;
-	if (r->wrote)
+	r->writing = batch.len > 0;
+	r->complete = batch.len <= BATCH_MAX;
+	if (r->writing)
 		store_append_batch(&r->store, STORE_TOPIC_MEMBERS,
 				   buf_lstr(&batch), NULL);
 	else
 		r->checked_era = era;
 	buf_free(&batch);
 	g_array_unref(held);
-	forget_listing(r);
+	clear_listing(r);
 }
 
 static void on_listed(struct record_check *r, const struct store_result *res)
 {
 	for (size_t i = 0; i < res->nrecords; i++)
-		take_record(r, &res->records[i]);
+		apply_record(r, &res->records[i]);
 	if (res->more)
 		store_newest(&r->store, STORE_TOPIC_MEMBERS, res->last_key);
 	else
@@ -167,15 +167,15 @@
 	if (res->err) {
 		mp_event(EV_PLATFORM_UNREACHABLE, G_LOG_LEVEL_WARNING,
 			 "what=records err=%s", g_strerror(-res->err));
-		forget_listing(r);
-		r->wrote = false;
+		clear_listing(r);
+		r->writing = false;
 		r->due_ms = clock_ms() + RETRY_MS;
 		return;
 	}
-	if (r->wrote) {
-		r->wrote = false;
+	if (r->writing) {
+		r->writing = false;
 		/* What didn't fit, or was lost again, is found missing. */
-		if (res->end.era == r->store.listing_era && r->whole)
+		if (res->end.era == r->store.listing_era && r->complete)
 			r->checked_era = res->end.era;
 		return;
 	}
--- a/control/record_check.h
+++ b/control/record_check.h
@@ -16,8 +16,8 @@
 	struct crash_watch *crashes;
 	GHashTable *boots;    /* instance -> uint64_t *, as its record says */
 	GArray *verdicts;     /* struct crash_news that stand there */
-	bool wrote;	      /* the call under way is a write, and */
-	bool whole;	      /* all that was lost fitted it */
+	bool writing;	      /* the call under way is a write, and */
+	bool complete;	      /* all that was lost fitted it */
 	uint64_t first_era;   /* the one that was known first; 0: none yet */
 	uint64_t checked_era; /* what was written stands there in this era */
 	uint64_t seen_era;    /* the store's, and */
--- a/control/relay.c
+++ b/control/relay.c
@@ -9,20 +9,20 @@
 {
 	switch (m->kind) {
 	case GOSSIP_LOAD:
-		control_tell_traffic(c, TO_TRAFFIC_LOAD,
+		control_send_traffic(c, TO_TRAFFIC_LOAD,
 				     g_memdup2(&m->load, sizeof(m->load)));
 		return true;
 	case GOSSIP_WANT:
 	case GOSSIP_GRANT:
-		control_tell_traffic(c, TO_TRAFFIC_LIMIT_CALL,
+		control_send_traffic(c, TO_TRAFFIC_LIMIT_CALL,
 				     g_memdup2(&m->call, sizeof(m->call)));
 		return true;
 	case GOSSIP_LIMIT:
-		control_tell_traffic(c, TO_TRAFFIC_LIMITS,
+		control_send_traffic(c, TO_TRAFFIC_LIMITS,
 				     g_memdup2(&m->limits, sizeof(m->limits)));
 		return true;
 	case GOSSIP_DRAIN:
-		control_tell_traffic(c, TO_TRAFFIC_DRAIN,
+		control_send_traffic(c, TO_TRAFFIC_DRAIN,
 				     g_memdup2(&m->drain, sizeof(m->drain)));
 		return true;
 	default:
@@ -40,7 +40,7 @@
 	struct buf b = {0};
 
 	if (kind == FROM_TRAFFIC_LIMIT_CALL) {
-		peer_channel_call(&c->peers, data, clock_ms());
+		peer_channel_send_limit_call(&c->peers, data, clock_ms());
 	} else if (kind == FROM_TRAFFIC_LOAD) {
 		load->peer = self;
 		gossip_write_load(&b, load);
--- a/control/start.h
+++ b/control/start.h
@@ -9,8 +9,8 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-struct start_view {
-	bool knows;	   /* configuration and list were known: it has ended */
+struct start_state {
+	bool done;	   /* configuration and list were known: it has ended */
 	bool many;	   /* the system is a large one */
 	bool first;	   /* the whole system starts for the first time */
 	bool listed;	   /* the members' records were read */
@@ -22,7 +22,8 @@
 	int64_t since_ms;  /* the start */
 };
 
-bool start_reads_store(const struct start_view *v, int64_t now_ms);
-bool start_asks_peers(const struct start_view *v, unsigned store_failures);
+bool start_should_read_store(const struct start_state *v, int64_t now_ms);
+bool start_should_ask_peers(const struct start_state *v,
+			    unsigned store_failures);
 
 #endif
--- a/tests/backend_lists.h
+++ b/tests/backend_lists.h
@@ -47,7 +47,7 @@
 {
 	struct backend_change c = change(offset, id, what);
 
-	backend_list_record(l, &c, now);
+	backend_list_apply_record(l, &c, now);
 }
 
 static inline void list_anew(struct backend_list *l, uint64_t end, int64_t now)
@@ -68,8 +68,8 @@
 {
 	struct backend_feed f;
 
-	backend_list_outline(from, &f, now);
-	assert_int_equal(backend_list_feed(to, &f, now), expect);
+	backend_list_build_feed(from, &f, now);
+	assert_int_equal(backend_list_apply_feed(to, &f, now), expect);
 }
 
 static inline struct store_position in_era(uint64_t era, uint64_t offset)
--- a/tests/test_backend_histories.c
+++ b/tests/test_backend_histories.c
@@ -134,7 +134,7 @@
 						.entry.id,
 					c->entry.id) != 0;
 		if (newest && !c->removed)
-			backend_list_record(l, c, w->now);
+			backend_list_apply_record(l, c, w->now);
 	}
 	backend_list_replace_end(l, in_era(w->era, w->log->len), w->now,
 				 w->now);
@@ -150,19 +150,19 @@
 	} else {
 		backend_list_read_begin(l, w->now);
 		for (guint k = (guint)l->pos.offset; k < w->log->len; k++)
-			backend_list_record(
+			backend_list_apply_record(
 				l,
 				&g_array_index(w->log, struct backend_change,
 					       k),
 				w->now);
-		backend_list_caught_up(l, in_era(w->era, w->log->len), w->now,
-				       w->now);
+		backend_list_advance(l, in_era(w->era, w->log->len), w->now,
+				     w->now);
 	}
 	for (int k = 0; k < INSTANCES; k++) {
 		if (k == i || g_rand_int_range(w->rand, 0, 4) == 0)
 			continue;
-		backend_list_outline(l, &f, w->now);
-		if (!backend_list_feed(&w->lists[k], &f, w->now))
+		backend_list_build_feed(l, &f, w->now);
+		if (!backend_list_apply_feed(&w->lists[k], &f, w->now))
 			copied_list(w, &w->lists[k]);
 	}
 }
@@ -193,7 +193,7 @@
 		break;
 	}
 	for (int k = 0; k < INSTANCES; k++)
-		backend_list_settle(&w->lists[k], w->now);
+		backend_list_apply_deferred(&w->lists[k], w->now);
 }
 
 static void expect_truth(struct copied_world *w, guint32 seed)
@@ -249,7 +249,7 @@
 		copied_read(&w, i % INSTANCES);
 		w.now += 1000;
 		for (int k = 0; k < INSTANCES; k++)
-			backend_list_settle(&w.lists[k], w.now);
+			backend_list_apply_deferred(&w.lists[k], w.now);
 	}
 	expect_truth(&w, seed);
 	g_rand_free(w.rand);
--- a/tests/test_backend_list.c
+++ b/tests/test_backend_list.c
@@ -35,18 +35,18 @@
 	list_anew(&l, 0, 1000);
 	record(&l, 0, "a", "ready", 1000);
 	record(&l, 1, "b", "ready", 1000);
-	backend_list_caught_up(&l, at(2), 1000, 1000);
+	backend_list_advance(&l, at(2), 1000, 1000);
 	/* The store is away from 1 s to 8 s; both leases run out. */
 	backend_list_read_begin(&l, 8000);
 	record(&l, 2, "a", "gone", 8000);
 	record(&l, 3, "b", "gone", 8000);
-	backend_list_caught_up(&l, at(4), 8000, 8000);
+	backend_list_advance(&l, at(4), 8000, 8000);
 	assert_string_equal(state_of(&s, "a"), "ready");
 	record(&l, 4, "a", "ready", 9000);
-	backend_list_caught_up(&l, at(5), 9000, 9000);
-	backend_list_settle(&l, 9900);
+	backend_list_advance(&l, at(5), 9000, 9000);
+	backend_list_apply_deferred(&l, 9900);
 	assert_string_equal(state_of(&s, "b"), "ready");
-	backend_list_settle(&l, 10300);
+	backend_list_apply_deferred(&l, 10300);
 	assert_string_equal(state_of(&s, "a"), "ready");
 	assert_string_equal(state_of(&s, "b"), "gone");
 	/* Draining is taken in at once even then. */
@@ -64,7 +64,7 @@
 	init(&l, &s);
 	list_anew(&l, 0, 1000);
 	record(&l, 0, "a", "ready", 1000);
-	backend_list_caught_up(&l, at(1), 1000, 1000);
+	backend_list_advance(&l, at(1), 1000, 1000);
 	backend_list_read_begin(&l, 1500);
 	record(&l, 1, "a", "gone", 1500);
 	assert_string_equal(state_of(&s, "a"), "gone");
@@ -77,7 +77,7 @@
 
 	c.entry.born_ms = born_ms;
 	c.entry.sequence = sequence;
-	backend_list_record(l, &c, now);
+	backend_list_apply_record(l, &c, now);
 }
 
 /* Records that come late, of an earlier start or an earlier word, say nothing. */
@@ -125,16 +125,16 @@
 	feed_to(&reader, &fed, false, 1000);
 	list_anew(&fed, 0, 1000);
 	record(&reader, 0, "a", "ready", 1400);
-	backend_list_caught_up(&reader, at(5), 1400, 1400);
+	backend_list_advance(&reader, at(5), 1400, 1400);
 	feed_to(&reader, &fed, true, 1450);
 	assert_string_equal(state_of(&fs, "a"), "ready");
 	assert_int_equal(fed.pos.offset, 5);
 	assert_int_equal(fed.fresh_ms, 1400);
 	/* The next feed is lost; the one after it still covers both. */
 	record(&reader, 5, "b", "ready", 1900);
-	backend_list_caught_up(&reader, at(9), 1900, 1900);
+	backend_list_advance(&reader, at(9), 1900, 1900);
 	record(&reader, 9, "a", "draining", 2400);
-	backend_list_caught_up(&reader, at(12), 2400, 2400);
+	backend_list_advance(&reader, at(12), 2400, 2400);
 	feed_to(&reader, &fed, true, 2400);
 	assert_string_equal(state_of(&fs, "b"), "ready");
 	assert_string_equal(state_of(&fs, "a"), "draining");
@@ -142,8 +142,8 @@
 	feed_to(&reader, &fed, true, 2410);
 	/* After a long silence the covered changes are too new. */
 	record(&reader, 12, "c", "ready", 2900);
-	backend_list_caught_up(&reader, at(14), 2900, 2900);
-	backend_list_caught_up(&reader, at(30), 6000, 6000);
+	backend_list_advance(&reader, at(14), 2900, 2900);
+	backend_list_advance(&reader, at(30), 6000, 6000);
 	feed_to(&reader, &fed, false, 6000);
 	assert_string_equal(state_of(&fs, "c"), "gone");
 }
@@ -163,21 +163,21 @@
 	list_anew(&fed, 0, 1000);
 	record(&reader, 0, "a", "ready", 1000);
 	record(&reader, 1, "b", "ready", 1000);
-	backend_list_caught_up(&reader, at(2), 1000, 1000);
+	backend_list_advance(&reader, at(2), 1000, 1000);
 	feed_to(&reader, &fed, true, 1000);
 	backend_list_read_begin(&reader, 9000);
 	record(&reader, 2, "a", "gone", 9000);
 	record(&reader, 3, "b", "gone", 9000);
-	backend_list_caught_up(&reader, at(4), 9000, 9000);
+	backend_list_advance(&reader, at(4), 9000, 9000);
 	/* The fed one heard of the outage by nothing else. */
 	fed.fresh_ms = 8900;
 	feed_to(&reader, &fed, true, 9010);
 	assert_string_equal(state_of(&fs, "a"), "ready");
 	record(&reader, 4, "b", "ready", 10000);
-	backend_list_caught_up(&reader, at(5), 10000, 10000);
+	backend_list_advance(&reader, at(5), 10000, 10000);
 	feed_to(&reader, &fed, true, 10010);
-	backend_list_settle(&fed, 11300);
-	backend_list_settle(&reader, 11300);
+	backend_list_apply_deferred(&fed, 11300);
+	backend_list_apply_deferred(&reader, 11300);
 	assert_string_equal(state_of(&fs, "a"), "gone");
 	assert_string_equal(state_of(&fs, "b"), "ready");
 	assert_string_equal(state_of(&rs, "a"), "gone");
@@ -198,7 +198,7 @@
 	record(&l, 4, "b", "draining", 1000);
 	record(&l, 5, "c", "ready", 1000);
 	record(&l, 6, "c", "gone", 1000);
-	backend_list_caught_up(&l, at(7), 1000, 1000);
+	backend_list_advance(&l, at(7), 1000, 1000);
 	backend_list_export(&l, all);
 	backend_list_import(&fresh, all, l.pos, 1000, 5000);
 	assert_true(fresh.loaded);
@@ -226,16 +226,16 @@
 	init(&old, &old_seen);
 	list_anew(&old, 0, 1000);
 	c = change(1, "i-1", "ready");
-	backend_list_record(&old, &c, 1000);
-	backend_list_caught_up(&old, at(2), 1000, 1000);
+	backend_list_apply_record(&old, &c, 1000);
+	backend_list_advance(&old, at(2), 1000, 1000);
 	backend_list_export(&old, all);
 	init(&l, &seen);
 	list_anew(&l, 0, 1000);
 	c = change(5, "i-1", "draining");
-	backend_list_record(&l, &c, 1100);
+	backend_list_apply_record(&l, &c, 1100);
 	c = change(6, "i-2", "ready");
-	backend_list_record(&l, &c, 1100);
-	backend_list_caught_up(&l, at(7), 1100, 1100);
+	backend_list_apply_record(&l, &c, 1100);
+	backend_list_advance(&l, at(7), 1100, 1100);
 	backend_list_import(&l, all, at(2), 1000, 1200);
 	assert_string_equal(state_of(&seen, "i-1"), "draining");
 	assert_string_equal(state_of(&seen, "i-2"), "ready");
@@ -246,11 +246,13 @@
 static void test_read_due(void **state)
 {
 	/* The first reads twice a second; others when nobody did. */
-	assert_in_range(backend_read_due(0, false, 1000, 0, 0), 1400, 1500);
+	assert_in_range(backend_list_next_read_ms(0, false, 1000, 0, 0), 1400,
+			1500);
 	int64_t last = 0;
 
 	for (unsigned rank = 1; rank < 600; rank++) {
-		int64_t due = backend_read_due(rank, rank % 2, 1000, 0, 0);
+		int64_t due =
+			backend_list_next_read_ms(rank, rank % 2, 1000, 0, 0);
 
 		assert_true(due >= last && due > 1500);
 		/* Room to read and act within two seconds. */
@@ -258,12 +260,17 @@
 		last = due;
 	}
 	/* Failures: later, but within a second. */
-	assert_in_range(backend_read_due(0, true, 0, 5000, 1), 5100, 5300);
-	assert_in_range(backend_read_due(0, true, 0, 5000, 50), 5500, 6000);
-	assert_in_range(backend_read_due(100, false, 0, 5000, 50), 5500, 6000);
+	assert_in_range(backend_list_next_read_ms(0, true, 0, 5000, 1), 5100,
+			5300);
+	assert_in_range(backend_list_next_read_ms(0, true, 0, 5000, 50), 5500,
+			6000);
+	assert_in_range(backend_list_next_read_ms(100, false, 0, 5000, 50),
+			5500, 6000);
 	/* In a large system those behind the hubs are in less of a hurry. */
-	assert_in_range(backend_read_due(100, true, 0, 5000, 1), 5100, 5300);
-	assert_in_range(backend_read_due(100, true, 0, 5000, 50), 7000, 8000);
+	assert_in_range(backend_list_next_read_ms(100, true, 0, 5000, 1), 5100,
+			5300);
+	assert_in_range(backend_list_next_read_ms(100, true, 0, 5000, 50), 7000,
+			8000);
 }
 
 enum { HISTORIES = 60, STEPS = 400, INSTANCES = 4, IDS = 6 };
@@ -296,16 +303,16 @@
 
 	backend_list_read_begin(l, w->now);
 	for (guint k = (guint)l->pos.offset; k < w->log->len; k++)
-		backend_list_record(
+		backend_list_apply_record(
 			l, &g_array_index(w->log, struct backend_change, k),
 			w->now);
-	backend_list_caught_up(l, at(w->log->len), w->now, w->now);
+	backend_list_advance(l, at(w->log->len), w->now, w->now);
 	for (int k = 0; k < INSTANCES; k++) {
 		if (k == i || g_rand_int_range(w->rand, 0, 4) == 0)
 			continue;
-		backend_list_outline(l, &f, w->now);
+		backend_list_build_feed(l, &f, w->now);
 		/* A gap is made good by the instance's own read, later. */
-		(void)backend_list_feed(&w->lists[k], &f, w->now);
+		(void)backend_list_apply_feed(&w->lists[k], &f, w->now);
 	}
 }
 
@@ -327,7 +334,7 @@
 		else
 			world_read(&w, g_rand_int_range(w.rand, 0, INSTANCES));
 		for (int k = 0; k < INSTANCES; k++)
-			backend_list_settle(&w.lists[k], w.now);
+			backend_list_apply_deferred(&w.lists[k], w.now);
 	}
 	for (int i = 0; i < INSTANCES; i++)
 		world_read(&w, i);
@@ -347,7 +354,7 @@
 							    : "ready";
 		}
 		for (int i = 0; i < INSTANCES; i++) {
-			backend_list_settle(&w.lists[i], w.now);
+			backend_list_apply_deferred(&w.lists[i], w.now);
 			if (strcmp(state_of(&w.seen[i], id), truth))
 				fail_msg("seed %u: instance %d has %s %s, "
 					 "the log %s",
--- a/tests/test_backend_copies.c
+++ b/tests/test_backend_restore.c
@@ -16,7 +16,7 @@
 	c.pos = pos;
 	c.entry.born_ms = 5000;
 	c.entry.sequence = sequence;
-	backend_list_record(l, &c, now);
+	backend_list_apply_record(l, &c, now);
 }
 
 /* A list with a and b, the first 8 records of era 1 taken in at 1,000 ms. */
@@ -26,7 +26,7 @@
 	list_anew(l, 0, 1000);
 	say(l, in_era(1, 0), "a", 1, "ready", 1000);
 	say(l, in_era(1, 1), "b", 1, "ready", 1000);
-	backend_list_caught_up(l, in_era(1, 8), 1000, 1000);
+	backend_list_advance(l, in_era(1, 8), 1000, 1000);
 }
 
 /* The copy is read by one that missed what another knows. */
@@ -45,7 +45,7 @@
 
 	begin_copied(&l, &s);
 	record(&l, 8, "b", "gone", 1100);
-	backend_list_caught_up(&l, in_era(1, 9), 1100, 1100);
+	backend_list_advance(&l, in_era(1, 9), 1100, 1100);
 	backend_list_replace_begin(&l, 2, 1500);
 	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
 	say(&l, in_era(2, 1), "b", 1, "ready", 1500);
@@ -53,7 +53,7 @@
 	assert_string_equal(state_of(&s, "b"), "gone");
 	/* Its removal is written again. */
 	say(&l, in_era(2, 2), "b", 0, "gone", 2500);
-	backend_list_settle(&l, 60000);
+	backend_list_apply_deferred(&l, 60000);
 	assert_string_equal(state_of(&s, "b"), "gone");
 	assert_string_equal(state_of(&s, "a"), "ready");
 }
@@ -67,7 +67,7 @@
 	begin_copied(&l, &s);
 	record(&l, 8, "a", "gone", 1100);
 	record(&l, 9, "b", "gone", 1100);
-	backend_list_caught_up(&l, in_era(1, 10), 1100, 1100);
+	backend_list_advance(&l, in_era(1, 10), 1100, 1100);
 	backend_list_replace_begin(&l, 2, 1500);
 	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
 	say(&l, in_era(2, 1), "b", 2, "ready", 1500);
@@ -75,9 +75,9 @@
 	/* A later word than its last proves it. */
 	assert_string_equal(state_of(&s, "b"), "ready");
 	assert_string_equal(state_of(&s, "a"), "gone");
-	backend_list_settle(&l, 5000);
+	backend_list_apply_deferred(&l, 5000);
 	assert_string_equal(state_of(&s, "a"), "gone");
-	backend_list_settle(&l, 9000);
+	backend_list_apply_deferred(&l, 9000);
 	assert_string_equal(state_of(&s, "a"), "ready");
 }
 
@@ -89,16 +89,16 @@
 	begin_copied(&l, &s);
 	say(&l, in_era(1, 8), "c", 1, "ready", 1100);
 	say(&l, in_era(1, 9), "d", 1, "ready", 1100);
-	backend_list_caught_up(&l, in_era(1, 10), 1100, 1100);
+	backend_list_advance(&l, in_era(1, 10), 1100, 1100);
 	backend_list_replace_begin(&l, 2, 1500);
 	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
 	say(&l, in_era(2, 1), "b", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 2), 1500, 1500);
-	backend_list_settle(&l, 3500);
+	backend_list_apply_deferred(&l, 3500);
 	assert_string_equal(state_of(&s, "c"), "ready");
 	assert_string_equal(state_of(&s, "d"), "ready");
 	say(&l, in_era(2, 2), "c", 2, "ready", 3500);
-	backend_list_settle(&l, 3800);
+	backend_list_apply_deferred(&l, 3800);
 	assert_string_equal(state_of(&s, "c"), "ready");
 	assert_string_equal(state_of(&s, "d"), "gone");
 }
@@ -114,13 +114,13 @@
 	say(&l, in_era(1, 8), "c", 1, "ready", 1100);
 	say(&l, in_era(1, 9), "c", 0, "gone", 1100);
 	say(&l, in_era(1, 12), "c", 2, "ready", 1200);
-	backend_list_caught_up(&l, in_era(1, 13), 1200, 1200);
+	backend_list_advance(&l, in_era(1, 13), 1200, 1200);
 	copy_without_draining(&l);
 	gone.pos = in_era(2, 9);
-	backend_list_remove_missing(&l, &gone, 1500);
+	backend_list_remove_deferred(&l, &gone, 1500);
 	assert_string_equal(state_of(&s, "c"), "ready");
 	gone.pos = in_era(2, 12);
-	backend_list_remove_missing(&l, &gone, 1500);
+	backend_list_remove_deferred(&l, &gone, 1500);
 	assert_string_equal(state_of(&s, "c"), "gone");
 }
 
@@ -152,12 +152,12 @@
 	begin_copied(&reader, &rs);
 	begin_copied(&fed, &fs);
 	record(&reader, 8, "b", "gone", 1100);
-	backend_list_caught_up(&reader, in_era(1, 9), 1100, 1100);
+	backend_list_advance(&reader, in_era(1, 9), 1100, 1100);
 	feed_to(&reader, &fed, true, 1110);
 	copy_without_draining(&reader);
 	feed_to(&reader, &fed, true, 1510);
 	assert_string_equal(state_of(&fs, "b"), "gone");
-	backend_list_settle(&fed, 9000);
+	backend_list_apply_deferred(&fed, 9000);
 	assert_string_equal(state_of(&fs, "b"), "ready");
 }
 
@@ -174,7 +174,7 @@
 	say(&l, in_era(2, 3), "d", 1, "ready", 1500);
 	say(&l, in_era(2, 5), "e", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 8), 1500, 1500);
-	backend_list_outline(&l, &f, 1500);
+	backend_list_build_feed(&l, &f, 1500);
 	assert_in_range(f.changes->len, 5, 7);
 	for (guint i = 1; i < f.changes->len; i++)
 		assert_true(store_position_cmp(
@@ -196,13 +196,13 @@
 	init(&l, &s);
 	list_anew(&l, 0, 1000);
 	c.entry.sequence = 2;
-	backend_list_record(&l, &c, 1000);
-	backend_list_caught_up(&l, in_era(1, 1), 1000, 1000);
+	backend_list_apply_record(&l, &c, 1000);
+	backend_list_advance(&l, in_era(1, 1), 1000, 1000);
 	backend_list_replace_begin(&l, 2, 1500);
 	c = change(0, "a", "ready");
 	c.pos = in_era(2, 0);
 	c.entry.sequence = 1;
-	backend_list_record(&l, &c, 1500);
+	backend_list_apply_record(&l, &c, 1500);
 	backend_list_replace_end(&l, in_era(2, 1), 1500, 1500);
 	assert_string_equal(state_of(&s, "a"), "draining");
 }
@@ -223,13 +223,13 @@
 	copy_without_draining(&lists);
 	/* Whether it has taken over the new era by a feed or by a listing. */
 	say(&knows, in_era(2, 2), "a", 2, "draining", 1600);
-	backend_list_caught_up(&knows, in_era(2, 3), 1600, 1600);
+	backend_list_advance(&knows, in_era(2, 3), 1600, 1600);
 	feed_to(&knows, &reader, true, 1610);
 	assert_string_equal(state_of(&rs, "a"), "draining");
 	begin_copied(&reader, &rs);
 	copy_without_draining(&reader);
 	say(&lists, in_era(2, 2), "a", 2, "draining", 1600);
-	backend_list_caught_up(&lists, in_era(2, 3), 1600, 1600);
+	backend_list_advance(&lists, in_era(2, 3), 1600, 1600);
 	feed_to(&lists, &reader, true, 1610);
 	assert_string_equal(state_of(&rs, "a"), "draining");
 }
@@ -242,7 +242,7 @@
 
 	begin_copied(&l, &s);
 	say(&l, in_era(1, 8), "c", 1, "ready", 1100);
-	backend_list_caught_up(&l, in_era(1, 9), 1100, 1100);
+	backend_list_advance(&l, in_era(1, 9), 1100, 1100);
 	backend_list_replace_begin(&l, 2, 1500);
 	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
 	say(&l, in_era(2, 1), "b", 1, "ready", 1500);
@@ -255,7 +255,7 @@
 	assert_string_equal(state_of(&s, "b"), "ready");
 	assert_string_equal(state_of(&s, "c"), "ready");
 	say(&l, in_era(2, 6), "b", 2, "ready", 2000);
-	backend_list_settle(&l, 4000);
+	backend_list_apply_deferred(&l, 4000);
 	assert_string_equal(state_of(&s, "b"), "ready");
 	assert_string_equal(state_of(&s, "c"), "gone");
 }
@@ -269,7 +269,7 @@
 	begin_copied(&reader, &rs);
 	begin_copied(&fed, &fs);
 	say(&reader, in_era(1, 8), "c", 1, "ready", 1100);
-	backend_list_caught_up(&reader, in_era(1, 9), 1100, 1100);
+	backend_list_advance(&reader, in_era(1, 9), 1100, 1100);
 	/* The fed one misses that feed; the next covers it and the rise. */
 	backend_list_replace_begin(&reader, 2, 1500);
 	say(&reader, in_era(2, 5), "d", 1, "ready", 1500);
@@ -282,12 +282,12 @@
 	assert_string_equal(state_of(&fs, "b"), "ready");
 	/* c writes again, b doesn't; the old era has nothing to say. */
 	say(&reader, in_era(2, 6), "c", 2, "ready", 2000);
-	backend_list_caught_up(&reader, in_era(2, 7), 2000, 2000);
+	backend_list_advance(&reader, in_era(2, 7), 2000, 2000);
 	feed_to(&reader, &fed, true, 2010);
 	begin_copied(&reader, &rs);
 	feed_to(&reader, &fed, true, 2020);
 	assert_int_equal(store_position_cmp(fed.pos, in_era(2, 7)), 0);
-	backend_list_settle(&fed, 4000);
+	backend_list_apply_deferred(&fed, 4000);
 	assert_string_equal(state_of(&fs, "c"), "ready");
 	assert_string_equal(state_of(&fs, "b"), "gone");
 	assert_string_equal(state_of(&fs, "a"), "ready");
--- a/tests/test_backend_watch.c
+++ b/tests/test_backend_watch.c
@@ -33,8 +33,8 @@
 {
 	struct store_result r = {.end = {0, 10}};
 
-	w->tried_ms = sent_ms;
-	w->asked_all = true;
+	w->read_sent_ms = sent_ms;
+	w->full_listing = true;
 	w->store.done(w->store.priv, &r);
 }
 
@@ -59,9 +59,9 @@
 	answer_listing(&w, now_ms - 2000);
 	/* Its poll waits for an answer that never comes. */
 	config.store.call = STORE_READ;
-	config.asked_ms = now_ms - 2100;
+	config.call_sent_ms = now_ms - 2100;
 	feed.changes = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
-	backend_watch_feed(&w, &feed, now_ms);
+	backend_watch_apply_feed(&w, &feed, now_ms);
 	assert_int_equal(w.list.fresh_ms, now_ms);
 	assert_int_equal(config_watch_age_ms(&config, w.answered_ms, now_ms),
 			 2000);
@@ -81,7 +81,7 @@
 
 	begin(&w);
 	answer_listing(&w, now_ms - 2000);
-	w.tried_ms = now_ms;
+	w.read_sent_ms = now_ms;
 	w.store.done(w.store.priv, &failed);
 	assert_int_equal(w.answered_ms, now_ms - 2000);
 }
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -21,12 +21,12 @@
 				    .digest = (uint32_t)version};
 }
 
-static enum config_need hear(struct config_watch *w, uint64_t version,
-			     uint64_t offset, uint32_t age_ms, int64_t now_ms)
+static enum config_action hear(struct config_watch *w, uint64_t version,
+			       uint64_t offset, uint32_t age_ms, int64_t now_ms)
 {
 	struct config_mark m = mark(version, offset, age_ms);
 
-	return config_watch_heard(w, &m, now_ms);
+	return config_watch_on_mark(w, &m, now_ms);
 }
 
 static struct store_position at(uint64_t offset)
@@ -70,17 +70,17 @@
 
 	init(&w, "5", 10);
 	/* A peer that knows as much: there was nothing newer 300 ms ago. */
-	assert_int_equal(hear(&w, 5, 10, 300, 10000), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 5, 10, 300, 10000), CONFIG_NO_ACTION);
 	assert_int_equal(config_watch_age_ms(&w, 0, 10100), 400);
 	/* Older news doesn't make it older, nor does one that knows less. */
-	assert_int_equal(hear(&w, 5, 10, 2000, 10100), CONFIG_KNOWN);
-	assert_int_equal(hear(&w, 5, 9, 0, 10200), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 5, 10, 2000, 10100), CONFIG_NO_ACTION);
+	assert_int_equal(hear(&w, 5, 9, 0, 10200), CONFIG_NO_ACTION);
 	assert_int_equal(config_watch_age_ms(&w, 0, 10200), 500);
 	/* One that knows more. */
-	assert_int_equal(hear(&w, 6, 12, 0, 10300), CONFIG_READ);
+	assert_int_equal(hear(&w, 6, 12, 0, 10300), CONFIG_READ_STORE);
 	/* While nothing is known yet the start decides. */
 	w.listed = false;
-	assert_int_equal(hear(&w, 6, 12, 0, 10300), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 6, 12, 0, 10300), CONFIG_NO_ACTION);
 	buf_free(&w.record);
 }
 
@@ -89,17 +89,20 @@
 	struct config_watch w;
 
 	init(&w, "5", 10);
-	assert_int_equal(config_watch_update(&w, LSTR("7"), at(12), 10000), 0);
+	assert_int_equal(config_watch_apply_peer(&w, LSTR("7"), at(12), 10000),
+			 0);
 	assert_int_equal(taken, 1);
 	assert_int_equal(w.version, 7);
 	assert_int_equal(w.pos.offset, 12);
 	/* A repeat, and a record that was unfit: the newest stays. */
-	assert_int_equal(config_watch_update(&w, LSTR("7"), at(12), 10000), 0);
-	assert_int_equal(config_watch_update(&w, LSTR("7"), at(13), 10100), 0);
+	assert_int_equal(config_watch_apply_peer(&w, LSTR("7"), at(12), 10000),
+			 0);
+	assert_int_equal(config_watch_apply_peer(&w, LSTR("7"), at(13), 10100),
+			 0);
 	assert_int_equal(taken, 1);
 	assert_int_equal(w.pos.offset, 13);
 	/* A peer with an older version can't be right: the store decides. */
-	assert_int_equal(config_watch_update(&w, LSTR("6"), at(14), 10200),
+	assert_int_equal(config_watch_apply_peer(&w, LSTR("6"), at(14), 10200),
 			 -ESTALE);
 	assert_int_equal(taken, 1);
 	assert_int_equal(w.pos.offset, 13);
@@ -117,14 +120,14 @@
 	ev_timer_set(&w.retry, 3, 0);
 	ev_timer_start(w.loop, &w.retry);
 	w.failures = 4;
-	assert_int_equal(hear(&w, 5, 10, 300, 10000), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 5, 10, 300, 10000), CONFIG_NO_ACTION);
 	assert_true(ev_is_active(&w.retry));
-	assert_int_equal(hear(&w, 6, 11, 300, 10000), CONFIG_READ);
+	assert_int_equal(hear(&w, 6, 11, 300, 10000), CONFIG_READ_STORE);
 	assert_false(ev_is_active(&w.retry));
 	/* The pause after a version is kept. */
 	ev_timer_start(w.loop, &w.retry);
 	w.failures = 0;
-	assert_int_equal(hear(&w, 6, 12, 300, 10000), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 6, 12, 300, 10000), CONFIG_NO_ACTION);
 	ev_timer_stop(w.loop, &w.retry);
 	buf_free(&w.record);
 }
@@ -142,20 +145,20 @@
 	ev_init(&w.retry, NULL);
 	/* The poll was sent before; its answer may be on the way. */
 	w.store.call = STORE_READ;
-	w.asked_ms = 9000;
+	w.call_sent_ms = 9000;
 	for (int64_t now = 10000; now <= 10700; now += 100)
-		assert_int_equal(hear(&w, 6, 12, 0, now), CONFIG_KNOWN);
+		assert_int_equal(hear(&w, 6, 12, 0, now), CONFIG_NO_ACTION);
 	assert_int_equal(w.store.call, STORE_READ);
 	/* It doesn't come: asked anew on another connection. */
-	assert_int_equal(hear(&w, 6, 12, 0, 10800), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 6, 12, 0, 10800), CONFIG_NO_ACTION);
 	assert_int_equal(w.store.call, STORE_NO_CALL);
 	assert_true(ev_is_active(&w.retry));
 	ev_timer_stop(w.loop, &w.retry);
 	/* This one is from after the news, and takes two seconds. */
 	w.store.call = STORE_READ;
-	w.asked_ms = 10800;
+	w.call_sent_ms = 10800;
 	for (int64_t now = 10900; now <= 12900; now += 100)
-		assert_int_equal(hear(&w, 6, 12, 0, now), CONFIG_KNOWN);
+		assert_int_equal(hear(&w, 6, 12, 0, now), CONFIG_NO_ACTION);
 	assert_int_equal(w.store.call, STORE_READ);
 	buf_free(&w.record);
 }
@@ -167,7 +170,7 @@
 
 	init(&w, "5", 10);
 	w.fresh_ms = 10000;
-	w.asked_ms = 10000;
+	w.call_sent_ms = 10000;
 	w.store.call = STORE_READ;
 	assert_int_equal(config_watch_age_ms(&w, 11000, 11100), 100);
 	/* The poll should have been answered by now. */
@@ -232,13 +235,14 @@
 	init(&w, "19", 7);
 	rise(&w, 1);
 	/* Peers that know no more have a bookmark in the new log. */
-	assert_int_equal(hear(&w, 19, 4, 10, 20100), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 19, 4, 10, 20100), CONFIG_NO_ACTION);
 	assert_int_equal(w.pos.offset, 4);
-	assert_int_equal(hear(&w, 21, 5, 10, 20200), CONFIG_READ);
+	assert_int_equal(hear(&w, 21, 5, 10, 20200), CONFIG_READ_STORE);
 	/* Without one the peer is asked, as it is when the store hasn't it. */
 	w.pos = (struct store_position){0, 7};
-	assert_int_equal(hear(&w, 21, 5, 10, 20200), CONFIG_ASK);
-	assert_int_equal(config_watch_update(&w, LSTR("21"), at(5), 20200), 0);
+	assert_int_equal(hear(&w, 21, 5, 10, 20200), CONFIG_ASK_PEER);
+	assert_int_equal(config_watch_apply_peer(&w, LSTR("21"), at(5), 20200),
+			 0);
 	assert_int_equal(w.version, 21);
 	assert_int_equal(store_position_cmp(w.pos, at(5)), 0);
 	buf_free(&w.record);
@@ -252,12 +256,13 @@
 
 	init(&w, "19", 7);
 	rise(&w, 1);
-	assert_int_equal(hear(&w, 19, 4, 10, 20100), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 19, 4, 10, 20100), CONFIG_NO_ACTION);
 	assert_false(config_watch_is_behind(&w));
-	assert_int_equal(config_watch_heard(&w, &old, 20200), CONFIG_ASK);
+	assert_int_equal(config_watch_on_mark(&w, &old, 20200),
+			 CONFIG_ASK_PEER);
 	assert_true(config_watch_is_behind(&w));
-	assert_int_equal(config_watch_update(&w, LSTR("21"), old.pos, 20200),
-			 0);
+	assert_int_equal(
+		config_watch_apply_peer(&w, LSTR("21"), old.pos, 20200), 0);
 	assert_int_equal(w.version, 21);
 	assert_false(config_watch_is_behind(&w));
 	/* Its bookmark marks nothing any more. */
@@ -322,9 +327,10 @@
 	buf_free(&w.record);
 	init(&w, "21", 1);
 	w.pos = at(1);
-	assert_int_equal(config_watch_heard(&w, &m, 20100), CONFIG_READ);
+	assert_int_equal(config_watch_on_mark(&w, &m, 20100),
+			 CONFIG_READ_STORE);
 	m.pos = at(0);
-	assert_int_equal(config_watch_heard(&w, &m, 20100), CONFIG_KNOWN);
+	assert_int_equal(config_watch_on_mark(&w, &m, 20100), CONFIG_NO_ACTION);
 	buf_free(&w.record);
 }
 
@@ -338,15 +344,16 @@
 	assert_int_equal(config_watch_age_ms(&w, 0, 20000), 10);
 	/* A poll that waits vouches for nothing any more either. */
 	w.store.call = STORE_READ;
-	w.asked_ms = 19990;
+	w.call_sent_ms = 19990;
 	rise(&w, 1);
 	assert_int_equal(w.store.call, STORE_NO_CALL);
 	assert_int_equal(config_watch_age_ms(&w, 19999, 20000), AGE_UNKNOWN);
 	/* Nor does a peer that still lives in the old era. */
-	assert_int_equal(config_watch_heard(&w, &old, 20000), CONFIG_KNOWN);
-	assert_int_equal(hear(&w, 5, 3, AGE_UNKNOWN, 20100), CONFIG_KNOWN);
+	assert_int_equal(config_watch_on_mark(&w, &old, 20000),
+			 CONFIG_NO_ACTION);
+	assert_int_equal(hear(&w, 5, 3, AGE_UNKNOWN, 20100), CONFIG_NO_ACTION);
 	assert_true(config_watch_age_ms(&w, 0, 20100) > 10000);
-	assert_int_equal(hear(&w, 5, 3, 40, 20100), CONFIG_KNOWN);
+	assert_int_equal(hear(&w, 5, 3, 40, 20100), CONFIG_NO_ACTION);
 	assert_int_equal(config_watch_age_ms(&w, 0, 20100), 40);
 	buf_free(&w.record);
 }
@@ -357,7 +364,7 @@
 	struct config_watch w;
 
 	init(&w, "5", 10);
-	w.told_ms = 19900;
+	w.peer_confirmed_ms = 19900;
 	rise(&w, 1);
 	config_watch_tick(&w, true, false, 20900);
 	assert_false(w.polls);
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -53,7 +53,7 @@
 	struct instance *in = priv;
 
 	if (m->kind == GOSSIP_CRASH && !in->deaf)
-		crash_watch_heard(&in->watch, m->sender.name, m->crashes);
+		crash_watch_add_peer(&in->watch, m->sender.name, m->crashes);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *t, int revents)
@@ -138,7 +138,7 @@
 		close(f->all[i].channel.sock);
 		store_cancel(&f->all[i].watch.record.store);
 		crash_ledger_free(&f->all[i].watch.ledger);
-		g_array_unref(f->all[i].watch.tellings);
+		g_array_unref(f->all[i].watch.broadcasts);
 	}
 	ev_loop_destroy(f->loop);
 	g_free(f->all);
@@ -150,7 +150,7 @@
 {
 	struct crash_news news = {kind, digest, server};
 
-	crash_watch_own(&f->all[i].watch, &news);
+	crash_watch_add_local(&f->all[i].watch, &news);
 }
 
 static int count(const struct fleet *f, enum verdict_kind kind)
@@ -240,7 +240,7 @@
 	wait_for(f, VERDICT_REFUSE, SMALL);
 	crash_ledger_answered(&f->all[3].watch.ledger, CULPRIT, clock_ms());
 	for (int i = 0; i < f->n; i++)
-		g_array_set_size(f->all[i].watch.tellings, 0);
+		g_array_set_size(f->all[i].watch.broadcasts, 0);
 	assert_int_equal(count(f, VERDICT_REFUSE), SMALL - 1);
 	saw(f, 3, CRASH_NEWS_END, CULPRIT, 555);
 	wait_for(f, VERDICT_REFUSE, SMALL);
--- a/tests/test_record_check.c
+++ b/tests/test_record_check.c
@@ -69,7 +69,7 @@
 	store_cancel(&f->crashes.record.store);
 	close(f->channel.sock);
 	crash_ledger_free(&f->crashes.ledger);
-	g_array_unref(f->crashes.tellings);
+	g_array_unref(f->crashes.broadcasts);
 	scripted_store_free(f->store);
 	g_free(f);
 }
@@ -150,7 +150,7 @@
 	GArray *a = g_array_new(FALSE, FALSE, sizeof(news));
 
 	g_array_append_val(a, news);
-	crash_watch_stored(&f->crashes, a);
+	crash_watch_add_stored(&f->crashes, a);
 	g_array_unref(a);
 }
 
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -7,79 +7,79 @@
  * An instance of a large system that has read the members' records and heard
  * of peers that can serve.
  */
-static const struct start_view large = {.many = true,
-					.listed = true,
-					.listed_ms = 1020,
-					.ready = 30,
-					.rank = 40,
-					.since_ms = 1000};
+static const struct start_state large = {.many = true,
+					 .listed = true,
+					 .listed_ms = 1020,
+					 .ready = 30,
+					 .rank = 40,
+					 .since_ms = 1000};
 
 static void test_members_first(void **state)
 {
-	struct start_view v = {.since_ms = 1000};
+	struct start_state v = {.since_ms = 1000};
 
 	/* How many there are isn't known yet. */
-	assert_false(start_reads_store(&v, 1050));
+	assert_false(start_should_read_store(&v, 1050));
 	v.listed = true;
-	assert_true(start_reads_store(&v, 1060));
-	assert_false(start_asks_peers(&v, 0));
+	assert_true(start_should_read_store(&v, 1060));
+	assert_false(start_should_ask_peers(&v, 0));
 	/* The store doesn't answer: both ways at once. */
 	v.listed = false;
 	v.failures = 1;
-	assert_true(start_reads_store(&v, 2100));
-	assert_true(start_asks_peers(&v, 1));
+	assert_true(start_should_read_store(&v, 2100));
+	assert_true(start_should_ask_peers(&v, 1));
 }
 
 static void test_large(void **state)
 {
-	struct start_view v = large;
+	struct start_state v = large;
 
-	assert_false(start_reads_store(&v, 1100));
-	assert_true(start_asks_peers(&v, 0));
+	assert_false(start_should_read_store(&v, 1100));
+	assert_true(start_should_ask_peers(&v, 0));
 	/* The first two read, so that there is somebody to ask. */
 	v.rank = 1;
-	assert_true(start_reads_store(&v, 1100));
+	assert_true(start_should_read_store(&v, 1100));
 	v.rank = 2;
-	assert_false(start_reads_store(&v, 1100));
+	assert_false(start_should_read_store(&v, 1100));
 	/* Nobody helped in time. */
-	assert_true(start_reads_store(&v, 3600));
+	assert_true(start_should_read_store(&v, 3600));
 }
 
 /* All were killed: nobody can help, and callers are at the door. */
 static void test_nobody_ready(void **state)
 {
-	struct start_view v = large;
+	struct start_state v = large;
 
 	v.ready = 0;
 	/* The first heartbeats are being answered. */
-	assert_false(start_reads_store(&v, 1060));
-	assert_true(start_reads_store(&v, 1120));
+	assert_false(start_should_read_store(&v, 1060));
+	assert_true(start_should_read_store(&v, 1120));
 	/* When the whole system starts there is no hurry. */
 	v.first = true;
-	assert_false(start_reads_store(&v, 1120));
-	assert_false(start_reads_store(&v, 3400));
-	assert_true(start_reads_store(&v, 3600));
+	assert_false(start_should_read_store(&v, 1120));
+	assert_false(start_should_read_store(&v, 3400));
+	assert_true(start_should_read_store(&v, 3600));
 }
 
 /* A peer that is asked by too many at once sends them away. */
 static void test_refused(void **state)
 {
-	struct start_view v = large;
+	struct start_state v = large;
 
 	v.refused = 1;
-	assert_true(start_reads_store(&v, 1100));
-	assert_true(start_asks_peers(&v, 0));
+	assert_true(start_should_read_store(&v, 1100));
+	assert_true(start_should_ask_peers(&v, 0));
 	v.first = true;
-	assert_false(start_reads_store(&v, 1100));
+	assert_false(start_should_read_store(&v, 1100));
 }
 
 static void test_ended(void **state)
 {
-	struct start_view v = large;
+	struct start_state v = large;
 
-	v.knows = true;
-	assert_true(start_reads_store(&v, 1100));
-	assert_false(start_asks_peers(&v, 3));
+	v.done = true;
+	assert_true(start_should_read_store(&v, 1100));
+	assert_false(start_should_ask_peers(&v, 3));
 }
 
 int main(void)
