--- a/control/backend_deferred.c
+++ b/control/backend_deferred.c
@@ -6,7 +6,8 @@
 enum { LEASE_HEARTBEATS = 3 };
 
 /* The removal of an entry, or the end of a doubt, is due then. */
-static void plan(struct backend_list *l, struct listed *e, int64_t due_ms)
+static void schedule(struct backend_list *l, struct list_entry *e,
+		     int64_t due_ms)
 {
 	e->due_ms = due_ms;
 	if (!l->due_ms || due_ms < l->due_ms)
@@ -17,17 +18,18 @@
  * Whether most servers of a service would be gone together with this one, of
  * those that were there when the store came back from a copy.
  */
-static bool most_removed(const struct backend_list *l, const struct listed *e)
+static bool most_removed(const struct backend_list *l,
+			 const struct list_entry *e)
 {
-	unsigned gone = ended_servers_count(&l->ended, e->entry.service,
-					    l->restored_ms);
-	unsigned all = gone, missing = gone;
+	unsigned removed = ended_servers_count(&l->ended, e->entry.service,
+					       l->restored_ms);
+	unsigned all = removed, missing = removed;
 	GHashTableIter it;
 	gpointer v;
 
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct listed *x = v;
+		const struct list_entry *x = v;
 
 		if (strcmp(x->entry.service, e->entry.service))
 			continue;
@@ -43,7 +45,7 @@
  * once; that all of them have left isn't believed before they could write.
  */
 static int64_t removal_due_ms(const struct backend_list *l,
-			      const struct listed *e, int64_t now_ms)
+			      const struct list_entry *e, int64_t now_ms)
 {
 	int64_t copied_until = l->restored_ms + BACKEND_GRACE_MS;
 
@@ -55,7 +57,7 @@
 }
 
 /* backend_list_defer_removal() tells whether a removal must wait, and plans it. */
-bool backend_list_defer_removal(struct backend_list *l, struct listed *e,
+bool backend_list_defer_removal(struct backend_list *l, struct list_entry *e,
 				int64_t now_ms)
 {
 	int64_t due_ms = removal_due_ms(l, e, now_ms);
@@ -63,24 +65,25 @@
 	if (due_ms <= now_ms)
 		return false;
 	e->deferred = true;
-	plan(l, e, due_ms);
+	schedule(l, e, due_ms);
 	return true;
 }
 
 /* backend_list_defer_missing() gives a server the time to write its entry again. */
-void backend_list_defer_missing(struct backend_list *l, struct listed *e,
+void backend_list_defer_missing(struct backend_list *l, struct list_entry *e,
 				int64_t now_ms)
 {
 	e->deferred = true;
-	plan(l, e, now_ms + BACKEND_GRACE_MS);
+	schedule(l, e, now_ms + BACKEND_GRACE_MS);
 }
 
 /* backend_list_add_unconfirmed() gives a removal the time to be written again. */
-void backend_list_add_unconfirmed(struct backend_list *l, struct listed *d,
+void backend_list_add_unconfirmed(struct backend_list *l, struct list_entry *d,
 				  int64_t now_ms)
 {
-	plan(l, d,
-	     now_ms + LEASE_HEARTBEATS * l->heartbeat_ms + BACKEND_GRACE_MS);
+	schedule(l, d,
+		 now_ms + LEASE_HEARTBEATS * l->heartbeat_ms +
+			 BACKEND_GRACE_MS);
 	g_hash_table_replace(l->unconfirmed, d->entry.id, d);
 }
 
@@ -92,7 +95,7 @@
 
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		if (((const struct listed *)v)->deferred)
+		if (((const struct list_entry *)v)->deferred)
 			return true;
 	}
 	return false;
@@ -108,7 +111,7 @@
 
 	g_hash_table_iter_init(&it, table);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct listed *e = v;
+		const struct list_entry *e = v;
 
 		if ((e->deferred || table == l->unconfirmed) &&
 		    e->due_ms <= now_ms)
@@ -122,7 +125,7 @@
 	GPtrArray *due = list_due(l, l->entries, now_ms);
 
 	for (guint i = 0; i < due->len; i++) {
-		const struct listed *e = g_ptr_array_index(due, i);
+		const struct list_entry *e = g_ptr_array_index(due, i);
 		struct backend_change c = {
 			.pos = e->pos, .removed = true, .entry = e->entry};
 
@@ -139,7 +142,7 @@
 	GPtrArray *due = list_due(l, l->unconfirmed, now_ms);
 
 	for (guint i = 0; i < due->len; i++) {
-		const struct listed *d = g_ptr_array_index(due, i);
+		const struct list_entry *d = g_ptr_array_index(due, i);
 		struct backend_change c = {.pos = l->pos, .entry = d->entry};
 
 		backend_list_add(l, &c, now_ms);
@@ -156,7 +159,7 @@
 
 	g_ptr_array_extend(all, doubts, NULL, NULL);
 	for (guint i = 0; i < all->len; i++) {
-		const struct listed *e = g_ptr_array_index(all, i);
+		const struct list_entry *e = g_ptr_array_index(all, i);
 
 		due_ms = !due_ms || e->due_ms < due_ms ? e->due_ms : due_ms;
 	}
--- a/control/backend_feed.c
+++ b/control/backend_feed.c
@@ -31,7 +31,7 @@
 		store_position_cmp(f->listed, f->to) > 0 ? f->listed : f->to;
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct listed *e = v;
+		struct list_entry *e = v;
 
 		if (e->pos.era >= era)
 			continue;
@@ -113,7 +113,7 @@
 
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct listed *e = v;
+		const struct list_entry *e = v;
 		struct backend_change c = {.pos = e->pos, .entry = e->entry};
 
 		g_array_append_val(changes, c);
@@ -123,7 +123,7 @@
 	}
 	g_hash_table_iter_init(&it, l->unconfirmed);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct listed *d = v;
+		const struct list_entry *d = v;
 		struct backend_change c = {
 			.pos = d->pos, .doubted = true, .entry = d->entry};
 
@@ -163,12 +163,12 @@
 
 	if (failures) {
 		unsigned shift = failures < 5 ? failures - 1 : 4;
-		int64_t wait = (int64_t)RETRY_MS << shift;
+		int64_t delay = (int64_t)RETRY_MS << shift;
 
-		if (wait > longest)
-			wait = longest;
-		if (tried_ms + wait > due)
-			due = tried_ms + wait;
+		if (delay > longest)
+			delay = longest;
+		if (tried_ms + delay > due)
+			due = tried_ms + delay;
 	}
 	return due;
 }
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -29,8 +29,8 @@
 }
 
 /* Keeps a change for the peers. */
-static void remember(struct backend_list *l, const struct backend_change *c,
-		     int64_t now_ms)
+static void record_recent(struct backend_list *l,
+			  const struct backend_change *c, int64_t now_ms)
 {
 	if (store_position_cmp(c->pos, l->pos) < 0)
 		return;
@@ -42,7 +42,7 @@
 void backend_list_publish(struct backend_list *l,
 			  const struct backend_change *c, int64_t now_ms)
 {
-	remember(l, c, now_ms);
+	record_recent(l, c, now_ms);
 	l->changed(l->priv, c);
 }
 
@@ -78,24 +78,24 @@
 static void remove_entry(struct backend_list *l, const struct backend_change *c,
 			 int64_t now_ms)
 {
-	struct listed *e = g_hash_table_lookup(l->entries, c->entry.id);
+	struct list_entry *e = g_hash_table_lookup(l->entries, c->entry.id);
 
 	/* Peers may hold it, or doubt it too. */
 	g_hash_table_remove(l->unconfirmed, c->entry.id);
 	if (!e)
-		remember(l, c, now_ms);
+		record_recent(l, c, now_ms);
 	if (!e || store_position_cmp(c->pos, e->pos) < 0)
 		return;
 	e->pos = c->pos;
 	if (backend_list_defer_removal(l, e, now_ms)) {
-		remember(l, c, now_ms);
+		record_recent(l, c, now_ms);
 		return;
 	}
-	struct backend_change gone = *c;
+	struct backend_change removal = *c;
 
-	backend_list_publish(l, &gone, now_ms);
+	backend_list_publish(l, &removal, now_ms);
 	ended_servers_add(&l->ended, &e->entry, c->pos, now_ms);
-	g_hash_table_remove(l->entries, gone.entry.id);
+	g_hash_table_remove(l->entries, removal.entry.id);
 }
 
 /*
@@ -107,26 +107,27 @@
 				  const struct backend_change *c,
 				  int64_t now_ms)
 {
-	const struct listed *e = g_hash_table_lookup(l->entries, c->entry.id);
-	struct backend_change gone = *c;
+	const struct list_entry *e =
+		g_hash_table_lookup(l->entries, c->entry.id);
+	struct backend_change removal = *c;
 
 	if (!e || !e->deferred || e->from_old_era ||
 	    c->pos.offset < e->pos.offset)
 		return;
-	gone.pos = l->pos;
-	remove_entry(l, &gone, now_ms);
+	removal.pos = l->pos;
+	remove_entry(l, &removal, now_ms);
 }
 
 /* The store's copy lacks a server that has written nothing since. */
 static void defer_missing_entry(struct backend_list *l,
 				const struct backend_change *c, int64_t now_ms)
 {
-	struct listed *e = g_hash_table_lookup(l->entries, c->entry.id);
+	struct list_entry *e = g_hash_table_lookup(l->entries, c->entry.id);
 
 	if (!e || store_position_cmp(c->pos, e->pos) < 0)
 		return;
 	backend_list_defer_missing(l, e, now_ms);
-	remember(l, c, now_ms);
+	record_recent(l, c, now_ms);
 }
 
 /* The copy has one that was off the list: a removal may be written again. */
@@ -134,14 +135,14 @@
 				  const struct backend_change *c,
 				  int64_t now_ms)
 {
-	struct listed *d = g_new0(struct listed, 1);
-	struct backend_change told = *c;
+	struct list_entry *d = g_new0(struct list_entry, 1);
+	struct backend_change unconfirmed = *c;
 
 	d->entry = c->entry;
 	d->pos = c->pos;
 	d->seen = true;
-	told.doubted = true;
-	remember(l, &told, now_ms);
+	unconfirmed.doubted = true;
+	record_recent(l, &unconfirmed, now_ms);
 	backend_list_add_unconfirmed(l, d, now_ms);
 	mp_event(EV_MEMBER_DOUBTED, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s offset=%" G_GUINT64_FORMAT
@@ -153,7 +154,8 @@
  * Tells whether a record says less of its server than is known. Of a later era
  * than what is known it may come from the copy.
  */
-static bool is_outdated(const struct listed *e, const struct backend_change *c)
+static bool is_outdated(const struct list_entry *e,
+			const struct backend_change *c)
 {
 	if (c->pos.era > e->pos.era)
 		return !backend_entry_is_newer(&c->entry, &e->entry);
@@ -161,21 +163,21 @@
 }
 
 /* The new era has an entry as well, though it says nothing new. */
-static void confirm_entry(struct backend_list *l, struct listed *e,
-			  const struct backend_change *said, int64_t now_ms)
+static void confirm_entry(struct backend_list *l, struct list_entry *e,
+			  const struct backend_change *received, int64_t now_ms)
 {
-	struct backend_change c = {.pos = said->pos, .entry = e->entry};
+	struct backend_change c = {.pos = received->pos, .entry = e->entry};
 	bool was_missing = e->deferred;
 
-	e->pos = said->pos;
+	e->pos = received->pos;
 	e->deferred = false;
-	e->from_old_era = differs(&e->entry, &said->entry);
+	e->from_old_era = differs(&e->entry, &received->entry);
 	if (was_missing)
 		backend_list_publish(l, &c, now_ms);
 }
 
 /* A record of a server that is on the list. */
-static void update_entry(struct backend_list *l, struct listed *e,
+static void update_entry(struct backend_list *l, struct list_entry *e,
 			 const struct backend_change *c, int64_t now_ms)
 {
 	bool changed =
@@ -201,7 +203,7 @@
 void backend_list_add(struct backend_list *l, const struct backend_change *c,
 		      int64_t now_ms)
 {
-	struct listed *e = g_new0(struct listed, 1);
+	struct list_entry *e = g_new0(struct list_entry, 1);
 
 	e->entry = c->entry;
 	e->pos = c->pos;
@@ -218,7 +220,7 @@
 void backend_list_apply_record(struct backend_list *l,
 			       const struct backend_change *c, int64_t now_ms)
 {
-	struct listed *e;
+	struct list_entry *e;
 
 	if (c->removed) {
 		remove_entry(l, c, now_ms);
@@ -306,24 +308,24 @@
 		backend_list_begin_restored(l, now_ms);
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v))
-		((struct listed *)v)->seen = false;
+		((struct list_entry *)v)->seen = false;
 	g_hash_table_iter_init(&it, l->unconfirmed);
 	while (g_hash_table_iter_next(&it, NULL, &v))
-		((struct listed *)v)->seen = false;
+		((struct list_entry *)v)->seen = false;
 }
 
 /* The place of what a listing lacks: peers take it in with its last record. */
-static struct store_position before(struct store_position end)
+static struct store_position preceding(struct store_position end)
 {
 	end.offset -= end.offset > 0;
 	return end;
 }
 
 /* Takes off an entry that a listing lacks, or holds it back. */
-static void drop_unseen(struct backend_list *l, const struct listed *e,
+static void drop_unseen(struct backend_list *l, const struct list_entry *e,
 			struct store_position end, int64_t now_ms)
 {
-	struct backend_change c = {.pos = l->restored ? before(end) : e->pos,
+	struct backend_change c = {.pos = l->restored ? preceding(end) : e->pos,
 				   .removed = !l->restored,
 				   .missing = l->restored,
 				   .entry = e->entry};
@@ -340,13 +342,14 @@
 
 	g_hash_table_iter_init(&it, l->unconfirmed);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct listed *d = v;
-		struct backend_change c = {
-			.pos = before(end), .removed = true, .entry = d->entry};
+		const struct list_entry *d = v;
+		struct backend_change c = {.pos = preceding(end),
+					   .removed = true,
+					   .entry = d->entry};
 
 		if (d->seen || store_position_cmp(d->pos, end) >= 0)
 			continue;
-		remember(l, &c, now_ms);
+		record_recent(l, &c, now_ms);
 		g_hash_table_iter_remove(&it);
 	}
 }
@@ -368,11 +371,11 @@
 {
 	GHashTableIter it;
 	gpointer v;
-	GPtrArray *lost = g_ptr_array_new();
+	GPtrArray *unseen = g_ptr_array_new();
 
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct listed *e = v;
+		const struct list_entry *e = v;
 
 		/*
 		 * What is newer than the listing can't be in it; what is missing
@@ -380,11 +383,11 @@
 		 */
 		if (!e->seen && store_position_cmp(e->pos, end) < 0 &&
 		    (l->restored || !e->deferred))
-			g_ptr_array_add(lost, v);
+			g_ptr_array_add(unseen, v);
 	}
-	for (guint i = 0; i < lost->len; i++)
-		drop_unseen(l, g_ptr_array_index(lost, i), end, now_ms);
-	g_ptr_array_unref(lost);
+	for (guint i = 0; i < unseen->len; i++)
+		drop_unseen(l, g_ptr_array_index(unseen, i), end, now_ms);
+	g_ptr_array_unref(unseen);
 	drop_unseen_unconfirmed(l, end, now_ms);
 	l->loaded = true;
 	l->listing_end = end;
--- a/control/backend_list_private.h
+++ b/control/backend_list_private.h
@@ -12,7 +12,7 @@
 	BACKEND_GRACE_MS = 2200,
 };
 
-struct listed {
+struct list_entry {
 	struct backend_entry entry;
 	struct store_position pos; /* of its newest record */
 	bool deferred;		   /* its removal is held back */
@@ -31,11 +31,11 @@
 void backend_list_begin_restored(struct backend_list *l, int64_t now_ms);
 void backend_list_add(struct backend_list *l, const struct backend_change *c,
 		      int64_t now_ms);
-bool backend_list_defer_removal(struct backend_list *l, struct listed *e,
+bool backend_list_defer_removal(struct backend_list *l, struct list_entry *e,
 				int64_t now_ms);
-void backend_list_defer_missing(struct backend_list *l, struct listed *e,
+void backend_list_defer_missing(struct backend_list *l, struct list_entry *e,
 				int64_t now_ms);
-void backend_list_add_unconfirmed(struct backend_list *l, struct listed *d,
+void backend_list_add_unconfirmed(struct backend_list *l, struct list_entry *d,
 				  int64_t now_ms);
 
 #endif
--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -120,7 +120,7 @@
 				 now_ms);
 }
 
-static void finish(struct backend_watch *w)
+static void on_read_complete(struct backend_watch *w)
 {
 	bool recovered = w->failures > 0;
 
@@ -144,7 +144,7 @@
 		w->reading_tail = false;
 		if (!r->err)
 			apply_removals(w, r, now_ms);
-		finish(w);
+		on_read_complete(w);
 		return;
 	}
 	if (r->err) {
@@ -160,7 +160,7 @@
 		apply_records(w, r, now_ms);
 		backend_list_advance(&w->list, r->end, w->read_sent_ms, now_ms);
 	}
-	finish(w);
+	on_read_complete(w);
 }
 
 /*
--- a/control/config_source.c
+++ b/control/config_source.c
@@ -14,29 +14,30 @@
 }
 
 /* A copy of the store may hold an older version; calm records don't. */
-static void log_older(const struct config_current *held, uint64_t version,
+static void log_older(const struct config_current *current, uint64_t version,
 		      const struct store_record *rec)
 {
-	if (held->listed && rec->pos.era > held->pos.era)
+	if (current->listed && rec->pos.era > current->pos.era)
 		mp_event(EV_CONFIG_KEPT, G_LOG_LEVEL_MESSAGE,
 			 "version=%" G_GUINT64_FORMAT
 			 " store_has=%" G_GUINT64_FORMAT
 			 " offset=%" G_GUINT64_FORMAT " era=%" G_GUINT64_FORMAT,
-			 held->version, version, rec->pos.offset, rec->pos.era);
+			 current->version, version, rec->pos.offset,
+			 rec->pos.era);
 	else
 		mp_event(EV_CONFIG_BAD_RECORD, G_LOG_LEVEL_WARNING,
 			 "record %" G_GUINT64_FORMAT
 			 " holds version %" G_GUINT64_FORMAT
 			 ", older than %" G_GUINT64_FORMAT,
-			 rec->pos.offset, version, held->version);
+			 rec->pos.offset, version, current->version);
 }
 
 /* Whether a record has other content under the number that is in force. */
-static bool replaces(const struct config_current *held,
+static bool replaces(const struct config_current *current,
 		     const struct store_record *rec)
 {
-	return store_position_cmp(rec->pos, held->pos) >= 0 &&
-	       !lstr_eq(rec->value, held->record);
+	return store_position_cmp(rec->pos, current->pos) >= 0 &&
+	       !lstr_eq(rec->value, current->record);
 }
 
 /*
@@ -46,7 +47,7 @@
  */
 struct config *config_source_decode_newer(const struct config_source *s,
 					  const struct store_record *rec,
-					  const struct config_current *held)
+					  const struct config_current *current)
 {
 	struct findings f;
 	struct config *c;
@@ -55,11 +56,11 @@
 	c = s->decode(s->priv, rec->value, &f);
 	log_findings(rec, &f);
 	findings_clear(&f);
-	if (!c || c->version > held->version)
+	if (!c || c->version > current->version)
 		return c;
-	if (c->version < held->version) {
-		log_older(held, c->version, rec);
-	} else if (replaces(held, rec)) {
+	if (c->version < current->version) {
+		log_older(current, c->version, rec);
+	} else if (replaces(current, rec)) {
 		mp_event(EV_CONFIG_REPLACED, G_LOG_LEVEL_WARNING,
 			 "version=%" G_GUINT64_FORMAT
 			 " offset=%" G_GUINT64_FORMAT " era=%" G_GUINT64_FORMAT,
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -10,7 +10,7 @@
 	 * A long poll costs one call and is answered when a version comes. One
 	 * that the store lost is never answered, so each is short.
 	 */
-	WAIT_MS = 2500,
+	POLL_WAIT_MAX_MS = 2500,
 	/*
 	 * A version that is written as a poll arrives may not wake it: it is
 	 * told when the poll ends, too late for the 2 s that it has. Two
@@ -50,7 +50,7 @@
 	RETRY_BEHIND_HUBS_MS = 2800,
 };
 
-static void ask(struct config_watch *w);
+static void send_read(struct config_watch *w);
 
 static uint32_t digest_of(struct lstr record)
 {
@@ -64,7 +64,8 @@
 /* config_poll_wait_ms() says how long a poll waits; random lies in 0..1. */
 int config_poll_wait_ms(double random)
 {
-	return POLL_WAIT_MIN_MS + (int)((WAIT_MS - POLL_WAIT_MIN_MS) * random);
+	return POLL_WAIT_MIN_MS +
+	       (int)((POLL_WAIT_MAX_MS - POLL_WAIT_MIN_MS) * random);
 }
 
 /* config_poll_pause_ms() says how long after a version the next one begins. */
@@ -76,7 +77,7 @@
 
 static void on_retry(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	ask(t->data);
+	send_read(t->data);
 }
 
 static void schedule_read(struct config_watch *w, int ms)
@@ -86,29 +87,29 @@
 	ev_timer_start(w->loop, &w->retry);
 }
 
-static bool is_in_force(const struct config_watch *w, struct lstr record)
+static bool is_current(const struct config_watch *w, struct lstr record)
 {
 	return lstr_eq(record, buf_lstr(&w->record));
 }
 
 /* `before`: what was taken in before this record was asked for. */
-static struct config *usable(struct config_watch *w,
-			     const struct store_record *rec,
-			     struct store_position before)
+static struct config *decode_newer(struct config_watch *w,
+				   const struct store_record *rec,
+				   struct store_position known)
 {
-	struct config_current held = {
+	struct config_current current = {
 		.version = w->version,
 		.record = buf_lstr(&w->record),
-		.pos = before,
+		.pos = known,
 		.listed = w->listed,
 	};
 
-	return config_source_decode_newer(&w->source, rec, &held);
+	return config_source_decode_newer(&w->source, rec, &current);
 }
 
 /* Takes over a usable version and keeps its record for peers. */
-static void take(struct config_watch *w, struct config *c,
-		 const struct store_record *rec, const char *by)
+static void apply(struct config_watch *w, struct config *c,
+		  const struct store_record *rec, const char *by)
 {
 	w->version = c->version;
 	w->record.len = 0;
@@ -127,7 +128,7 @@
  * taken in by then.
  */
 static void apply_newest(struct config_watch *w, const struct store_result *r,
-			 struct store_position before)
+			 struct store_position known)
 {
 	for (size_t i = r->nrecords; i > 0; i--) {
 		const struct store_record *rec = &r->records[i - 1];
@@ -136,10 +137,10 @@
 		if (!lstr_eq(rec->key, lstr0(w->source.key)) ||
 		    rec->value.len == 0)
 			continue;
-		c = usable(w, rec, before);
+		c = decode_newer(w, rec, known);
 		if (!c)
 			continue;
-		take(w, c, rec, "store");
+		apply(w, c, rec, "store");
 		return;
 	}
 }
@@ -148,10 +149,10 @@
 static void apply_absent(struct config_watch *w)
 {
 	struct store_record none = {.key = lstr0(w->source.key)};
-	struct config *c = usable(w, &none, w->pos);
+	struct config *c = decode_newer(w, &none, w->pos);
 
 	if (c)
-		take(w, c, &none, "settings");
+		apply(w, c, &none, "settings");
 }
 
 /*
@@ -167,17 +168,17 @@
 
 	if (!record.len && !w->source.usable_when_absent)
 		return;
-	c = usable(w, &rec, w->pos);
+	c = decode_newer(w, &rec, w->pos);
 	if (!c)
 		return;
-	take(w, c, &rec, "peer");
+	apply(w, c, &rec, "peer");
 	w->pos = pos;
 	w->listed = true;
 	w->peer_confirmed_ms = told_ms;
 }
 
 /* The store has nothing at the bookmark any more. */
-static void list_anew(struct config_watch *w)
+static void request_listing(struct config_watch *w)
 {
 	mp_event(EV_STORE_LIST_ANEW, G_LOG_LEVEL_MESSAGE,
 		 "what=config offset=%" G_GUINT64_FORMAT
@@ -191,24 +192,24 @@
 static void on_failure(struct config_watch *w, int err)
 {
 	unsigned shift = w->failures < 5 ? w->failures : 4;
-	int wait = RETRY_MS << shift;
-	int longest = w->behind_hubs ? RETRY_BEHIND_HUBS_MS : RETRY_MAX_MS;
+	int wait_ms = RETRY_MS << shift;
+	int longest_ms = w->behind_hubs ? RETRY_BEHIND_HUBS_MS : RETRY_MAX_MS;
 
 	if (w->failures++ == 0)
 		mp_event(EV_PLATFORM_UNREACHABLE, G_LOG_LEVEL_WARNING,
 			 "what=config err=%s version=%" G_GUINT64_FORMAT
 			 " offset=%" G_GUINT64_FORMAT,
 			 g_strerror(-err), w->version, w->pos.offset);
-	schedule_read(w, wait < longest ? wait : longest);
+	schedule_read(w, wait_ms < longest_ms ? wait_ms : longest_ms);
 }
 
 static void on_done(void *priv, const struct store_result *r)
 {
 	struct config_watch *w = priv;
-	struct store_position before = w->pos;
+	struct store_position known = w->pos;
 
 	if (r->err == -ERANGE) {
-		list_anew(w);
+		request_listing(w);
 		return;
 	}
 	if (r->err == -ECANCELED) {
@@ -233,7 +234,7 @@
 	if (store_position_cmp(r->end, w->pos) > 0)
 		w->pos = r->end;
 	w->relist = false;
-	apply_newest(w, r, before);
+	apply_newest(w, r, known);
 	if (!w->version && w->source.usable_when_absent)
 		apply_absent(w);
 	if (w->polls || store_position_cmp(w->peer_pos, w->pos) > 0)
@@ -248,7 +249,7 @@
 	return w->pos.era == w->store.store->era;
 }
 
-static void ask(struct config_watch *w)
+static void send_read(struct config_watch *w)
 {
 	w->call_sent_ms = clock_ms();
 	if (!w->listed || w->relist || !is_bookmark_valid(w))
@@ -271,20 +272,20 @@
 void config_watch_tick(struct config_watch *w, bool may_ask, bool first,
 		       int64_t now_ms)
 {
-	int quiet = w->behind_hubs ? SILENCE_BEHIND_HUBS_MS : SILENCE_MS;
+	int silence_ms = w->behind_hubs ? SILENCE_BEHIND_HUBS_MS : SILENCE_MS;
 	/* After a rise of the era those that read the store have their turn. */
 	int64_t heard_ms = MAX(w->peer_confirmed_ms, w->era_ms);
 
-	w->polls = may_ask && (first || now_ms - heard_ms > quiet);
+	w->polls = may_ask && (first || now_ms - heard_ms > silence_ms);
 	if (w->polls && is_idle(w))
-		ask(w);
+		send_read(w);
 }
 
 /* config_watch_read() reads on now, if no call is under way. */
 void config_watch_read(struct config_watch *w)
 {
 	if (is_idle(w))
-		ask(w);
+		send_read(w);
 }
 
 /* Takes over a peer's bookmark, if that marks anything in the present era. */
@@ -313,11 +314,11 @@
 	struct store_record rec = {
 		.pos = pos, .key = lstr0(w->source.key), .value = record};
 	bool ahead = store_position_cmp(pos, w->pos) > 0;
-	struct config *c = usable(w, &rec, w->pos);
+	struct config *c = decode_newer(w, &rec, w->pos);
 
 	if (c) {
-		take(w, c, &rec, "peer");
-	} else if (!is_in_force(w, record)) {
+		apply(w, c, &rec, "peer");
+	} else if (!is_current(w, record)) {
 		w->invalid_digest = digest_of(record);
 		if (ahead && pos.era == w->pos.era)
 			return -ESTALE;
@@ -348,8 +349,9 @@
 }
 
 /* A newer version is in the store, unless that has come back without it. */
-static enum config_action fetch(struct config_watch *w,
-				const struct config_mark *m, int64_t now_ms)
+static enum config_action choose_action(struct config_watch *w,
+					const struct config_mark *m,
+					int64_t now_ms)
 {
 	bool ahead = store_position_cmp(m->pos, w->pos) > 0;
 
@@ -381,7 +383,7 @@
 					int64_t now_ms)
 {
 	if (is_newer(w, m))
-		return fetch(w, m, now_ms);
+		return choose_action(w, m, now_ms);
 	if (w->listed && w->version)
 		advance(w, m->pos,
 			m->age_ms == AGE_UNKNOWN ? 0 : now_ms - m->age_ms);
@@ -396,8 +398,9 @@
 uint32_t config_watch_age_ms(const struct config_watch *w, int64_t store_ms,
 			     int64_t now_ms)
 {
-	bool waits = w->store.call == STORE_READ && w->failures == 0 &&
-		     now_ms - w->call_sent_ms < WAIT_MS + ANSWER_MARGIN_MS;
+	bool waits =
+		w->store.call == STORE_READ && w->failures == 0 &&
+		now_ms - w->call_sent_ms < POLL_WAIT_MAX_MS + ANSWER_MARGIN_MS;
 	int64_t at = MAX(w->fresh_ms, w->peer_confirmed_ms);
 
 	if (!is_bookmark_valid(w))
--- a/control/control.c
+++ b/control/control.c
@@ -108,7 +108,7 @@
 }
 
 /* Passes the list on, unless nobody knows yet what the present era holds. */
-static void feed(struct control *c, enum feed_to to, int64_t now_ms)
+static void send_feed(struct control *c, enum feed_target to, int64_t now_ms)
 {
 	if (backend_watch_is_current(&c->backends))
 		feeder_send(&c->feeder, &c->peers, &c->backends.list, to,
@@ -125,7 +125,7 @@
 
 	control_publish_age(c);
 	update_self(c, now_ms);
-	feed(c, feeder_target_after_read(many, rank), now_ms);
+	send_feed(c, feeder_target_after_read(many, rank), now_ms);
 	if (recovered)
 		config_watch_restart(&c->config);
 }
@@ -168,17 +168,18 @@
 }
 
 /* Both hold elements of so many bytes. */
-static bool same_array(const GArray *a, const GArray *b, size_t size)
+static bool arrays_equal(const GArray *a, const GArray *b, size_t size)
 {
 	return a && b && a->len == b->len &&
 	       (a->len == 0 || !memcmp(a->data, b->data, a->len * size));
 }
 
-static bool same_view(const struct peer_view *a, const struct peer_view *b)
+static bool views_equal(const struct peer_view *a, const struct peer_view *b)
 {
 	return a->instances == b->instances &&
-	       same_array(a->named, b->named, sizeof(struct peer_brief)) &&
-	       same_array(a->sharers, b->sharers, sizeof(struct limit_sharer));
+	       arrays_equal(a->named, b->named, sizeof(struct peer_brief)) &&
+	       arrays_equal(a->sharers, b->sharers,
+			    sizeof(struct limit_sharer));
 }
 
 static void clear_view(struct peer_view *v)
@@ -210,7 +211,7 @@
 		.sharers = sharers(c, now_ms),
 	};
 
-	if (same_view(&v, &c->last_view)) {
+	if (views_equal(&v, &c->last_view)) {
 		clear_view(&v);
 		return;
 	}
@@ -262,7 +263,7 @@
 }
 
 /* Does all that is due. */
-static void step(struct control *c)
+static void run_due(struct control *c)
 {
 	int64_t now_ms = clock_ms();
 	unsigned rank = peers_rank(&c->peers.peers, now_ms);
@@ -280,10 +281,10 @@
 	update_self(c, now_ms);
 	if (start_should_ask_peers(&start, store_failures))
 		peer_fetch_tick(&c->peer_fetch, store_failures > 0, now_ms);
-	feed(c,
-	     feeder_target_after_feed(&c->feeder, start.many, rank,
-				      c->backends.list.fresh_ms, now_ms),
-	     now_ms);
+	send_feed(c,
+		  feeder_target_after_feed(&c->feeder, start.many, rank,
+					   c->backends.list.fresh_ms, now_ms),
+		  now_ms);
 	announce_era(c, now_ms);
 	peer_channel_tick(&c->peers, now_ms);
 	crash_watch_tick(&c->crashes, rank, start.many);
@@ -294,7 +295,7 @@
 
 static void on_tick(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	step(t->data);
+	run_due(t->data);
 }
 
 static void on_new_era(struct ev_loop *loop, ev_timer *t, int revents)
@@ -304,7 +305,7 @@
 
 	config_watch_new_era(&c->config, now_ms);
 	backend_watch_new_era(&c->backends, now_ms);
-	step(c);
+	run_due(c);
 }
 
 static void on_era_risen(void *priv)
@@ -332,7 +333,7 @@
 /* The members are known: what to do next depends on how many there are. */
 static void on_members(void *priv)
 {
-	step(priv);
+	run_due(priv);
 }
 
 /* SIGTERM: peers drop this instance from their answers at once. */
@@ -352,20 +353,20 @@
 
 /* Takes over changed settings and says which wait for the next start. */
 static void apply_settings(struct control *c,
-			   const struct instance_settings *fresh)
+			   const struct instance_settings *loaded)
 {
-	struct buf all = {0}, rest = {0};
+	struct buf changed = {0}, deferred = {0};
 
-	instance_settings_differences(&c->settings, fresh, &all);
-	instance_settings_take_over(&c->settings, fresh);
-	instance_settings_differences(&c->settings, fresh, &rest);
+	instance_settings_differences(&c->settings, loaded, &changed);
+	instance_settings_take_over(&c->settings, loaded);
+	instance_settings_differences(&c->settings, loaded, &deferred);
 	mp_event(EV_RELOADED, G_LOG_LEVEL_MESSAGE,
 		 "settings=%s changed=[%.*s ] at_next_start=[%.*s ]",
-		 all.len ? "changed" : "as before", (int)all.len,
-		 all.len ? all.ptr : "", (int)rest.len,
-		 rest.len ? rest.ptr : "");
-	buf_free(&all);
-	buf_free(&rest);
+		 changed.len ? "changed" : "as before", (int)changed.len,
+		 changed.len ? changed.ptr : "", (int)deferred.len,
+		 deferred.len ? deferred.ptr : "");
+	buf_free(&changed);
+	buf_free(&deferred);
 	mp_log_set_level(c->settings.log_level);
 	control_send_traffic(
 		c, TO_TRAFFIC_BOUNDS,
@@ -376,13 +377,13 @@
 static void on_hup(struct ev_loop *loop, ev_signal *s, int revents)
 {
 	struct control *c = s->data;
-	struct instance_settings fresh;
+	struct instance_settings loaded;
 
-	if (c->settings_source.load(c->settings_source.priv, &fresh))
+	if (c->settings_source.load(c->settings_source.priv, &loaded))
 		mp_event(EV_RELOADED, G_LOG_LEVEL_MESSAGE,
 			 "settings=bad; the old ones stay in force");
 	else
-		apply_settings(c, &fresh);
+		apply_settings(c, &loaded);
 }
 
 static void from_traffic(void *priv, struct mail *m)
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -27,11 +27,11 @@
 };
 
 /* Something to be told to the others, and how often yet. */
-struct telling {
+struct broadcast {
 	struct crash_news news;
-	unsigned left;
+	unsigned sends_left;
 	int64_t next_ms;
-	int64_t gap_ms;
+	int64_t interval_ms;
 };
 
 /* What a change means for the log and for the traffic thread. */
@@ -39,7 +39,7 @@
 	const char *name;
 	enum mp_event event;
 	enum verdict_kind verdict;
-} changes[] = {
+} change_info[] = {
 	[CRASH_SUSPECTED] = {"suspected", EV_CRASH_SUSPECTED, VERDICT_SUSPECT},
 	[CRASH_QUARANTINED] = {"quarantined", EV_CRASH_QUARANTINED,
 			       VERDICT_REFUSE},
@@ -49,24 +49,24 @@
 };
 
 static void log_change(const struct crash_watch *w, const struct crash_case *c,
-		       enum crash_change what, int64_t now_ms)
+		       enum crash_change change, int64_t now_ms)
 {
-	mp_event(changes[what].event, G_LOG_LEVEL_MESSAGE,
+	mp_event(change_info[change].event, G_LOG_LEVEL_MESSAGE,
 		 "digest=%016" PRIx64 " what=%s teller=%s ends=%u terms=%u "
 		 "last_end_ago_ms=%" G_GINT64_FORMAT
 		 " next_in_ms=%" G_GINT64_FORMAT " cases=%u",
-		 c->digest, changes[what].name, w->source ? w->source : "-",
-		 c->nends, c->terms, now_ms - c->last_end_ms,
-		 c->due_ms ? c->due_ms - now_ms : 0,
+		 c->digest, change_info[change].name,
+		 w->source ? w->source : "-", c->nends, c->terms,
+		 now_ms - c->last_end_ms, c->due_ms ? c->due_ms - now_ms : 0,
 		 g_hash_table_size(w->ledger.cases));
 }
 
 static void send_verdict(struct crash_watch *w, const struct crash_case *c,
-			 enum crash_change what)
+			 enum crash_change change)
 {
 	struct verdict v = {
 		.digest = c->digest,
-		.kind = changes[what].verdict,
+		.kind = change_info[change].verdict,
 		.until_ms = c->due_ms,
 	};
 
@@ -74,7 +74,7 @@
 }
 
 /* Evidence goes to those that judge, verdicts go to all. */
-static bool is_for_all(const struct crash_watch *w, const struct telling *t)
+static bool goes_to_all(const struct crash_watch *w, const struct broadcast *t)
 {
 	if (!w->many || t->news.kind == CRASH_NEWS_QUARANTINE)
 		return true;
@@ -103,10 +103,10 @@
 	unsigned n = 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
-		const struct telling *t =
-			&g_array_index(w->broadcasts, struct telling, i);
+		const struct broadcast *t =
+			&g_array_index(w->broadcasts, struct broadcast, i);
 
-		if (t->next_ms > now_ms || is_for_all(w, t) != to_all)
+		if (t->next_ms > now_ms || goes_to_all(w, t) != to_all)
 			continue;
 		news[n++] = t->news;
 		if (n < CRASH_NEWS_MAX)
@@ -121,19 +121,19 @@
 static void schedule_repeats(struct crash_watch *w, int64_t now_ms)
 {
 	for (guint i = 0; i < w->broadcasts->len;) {
-		struct telling *t =
-			&g_array_index(w->broadcasts, struct telling, i);
+		struct broadcast *t =
+			&g_array_index(w->broadcasts, struct broadcast, i);
 
 		if (t->next_ms > now_ms) {
 			i++;
 			continue;
 		}
-		if (--t->left == 0) {
+		if (--t->sends_left == 0) {
 			g_array_remove_index(w->broadcasts, i);
 			continue;
 		}
-		t->next_ms = now_ms + t->gap_ms;
-		t->gap_ms *= 2;
+		t->next_ms = now_ms + t->interval_ms;
+		t->interval_ms *= 2;
 		i++;
 	}
 }
@@ -149,8 +149,8 @@
 	int64_t due = judges(w) ? crash_ledger_due_ms(&w->ledger) : 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
-		int64_t next =
-			g_array_index(w->broadcasts, struct telling, i).next_ms;
+		int64_t next = g_array_index(w->broadcasts, struct broadcast, i)
+				       .next_ms;
 
 		due = !due || next < due ? next : due;
 	}
@@ -161,7 +161,7 @@
 	ev_timer_start(w->loop, &w->due);
 }
 
-static void do_due(struct crash_watch *w)
+static void run_due(struct crash_watch *w)
 {
 	int64_t now_ms = clock_ms();
 
@@ -175,15 +175,15 @@
 
 static void on_due(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	do_due(t->data);
+	run_due(t->data);
 }
 
 /* What was to be told of a request before is no longer so. */
 static void cancel_broadcasts(struct crash_watch *w, uint64_t digest)
 {
 	for (guint i = w->broadcasts->len; i > 0; i--) {
-		const struct telling *t =
-			&g_array_index(w->broadcasts, struct telling, i - 1);
+		const struct broadcast *t =
+			&g_array_index(w->broadcasts, struct broadcast, i - 1);
 
 		if (t->news.digest == digest)
 			g_array_remove_index(w->broadcasts, i - 1);
@@ -191,16 +191,16 @@
 }
 
 /* Tells the others, now and again; sent from the loop, not from here. */
-static void tell(struct crash_watch *w, const struct crash_news *news,
-		 unsigned times)
+static void add_broadcast(struct crash_watch *w, const struct crash_news *news,
+			  unsigned times)
 {
 	int64_t now_ms = clock_ms();
-	struct telling t = {.news = *news,
-			    .left = times,
-			    .next_ms = now_ms,
-			    .gap_ms = times > EVIDENCE_SENDS
-					      ? VERDICT_REPEAT_MS
-					      : EVIDENCE_REPEAT_MS};
+	struct broadcast t = {.news = *news,
+			      .sends_left = times,
+			      .next_ms = now_ms,
+			      .interval_ms = times > EVIDENCE_SENDS
+						     ? VERDICT_REPEAT_MS
+						     : EVIDENCE_REPEAT_MS};
 
 	if (w->broadcasts->len == BROADCASTS_MAX)
 		g_array_remove_index(w->broadcasts, 0);
@@ -228,7 +228,7 @@
 	if (w->source)
 		return;
 	cancel_broadcasts(w, c->digest);
-	tell(w, &news, VERDICT_SENDS);
+	add_broadcast(w, &news, VERDICT_SENDS);
 }
 
 /*
@@ -236,27 +236,27 @@
  * by those of whoever may write it yet: the store was away.
  */
 static void drop_record(struct crash_watch *w, const struct crash_case *c,
-			enum crash_change what)
+			enum crash_change change)
 {
 	struct crash_news news = {CRASH_NEWS_ANSWERED, c->digest, 0};
-	bool own = what == CRASH_RELEASED ? !w->source : w->rank == 0;
+	bool writer = change == CRASH_RELEASED ? !w->source : w->rank == 0;
 
 	if (c->quarantined &&
-	    (own || crash_record_is_pending(&w->record, c->digest)))
+	    (writer || crash_record_is_pending(&w->record, c->digest)))
 		crash_record_put(&w->record, &news);
 }
 
 static void on_change(void *priv, const struct crash_case *c,
-		      enum crash_change what, int64_t now_ms)
+		      enum crash_change change, int64_t now_ms)
 {
 	struct crash_watch *w = priv;
 
-	log_change(w, c, what, now_ms);
-	send_verdict(w, c, what);
-	if (what == CRASH_QUARANTINED)
+	log_change(w, c, change, now_ms);
+	send_verdict(w, c, change);
+	if (change == CRASH_QUARANTINED)
 		announce(w, c);
-	else if (what == CRASH_RELEASED || what == CRASH_FORGOTTEN)
-		drop_record(w, c, what);
+	else if (change == CRASH_RELEASED || change == CRASH_FORGOTTEN)
+		drop_record(w, c, change);
 }
 
 /* A request that nothing is held against needs no answer told. */
@@ -272,7 +272,8 @@
 	cancel_broadcasts(w, news->digest);
 	/* In a large system the hubs pass on what ends a verdict of theirs. */
 	if (!w->source || (verdict && w->many && w->rank < HUBS))
-		tell(w, news, verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
+		add_broadcast(w, news,
+			      verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
 	crash_ledger_answered(&w->ledger, news->digest, now_ms);
 }
 
@@ -286,14 +287,14 @@
 
 	if (c && c->quarantined && w->source && w->rank < HUBS) {
 		verdict = verdict_news(c);
-		tell(w, &verdict, 1);
+		add_broadcast(w, &verdict, 1);
 	}
 	if (!w->source)
-		tell(w, news, EVIDENCE_SENDS);
+		add_broadcast(w, news, EVIDENCE_SENDS);
 	crash_ledger_end(&w->ledger, news->digest, news->detail, now_ms);
 }
 
-static void take(struct crash_watch *w, const struct crash_news *news)
+static void apply(struct crash_watch *w, const struct crash_news *news)
 {
 	int64_t now_ms = clock_ms();
 
@@ -316,7 +317,7 @@
 void crash_watch_add_local(struct crash_watch *w, const struct crash_news *news)
 {
 	w->source = NULL;
-	take(w, news);
+	apply(w, news);
 }
 
 static void apply_all(struct crash_watch *w, const char *teller,
@@ -324,7 +325,7 @@
 {
 	w->source = teller;
 	for (guint i = 0; i < news->len; i++)
-		take(w, &g_array_index(news, struct crash_news, i));
+		apply(w, &g_array_index(news, struct crash_news, i));
 	w->source = NULL;
 }
 
@@ -349,7 +350,7 @@
  */
 GArray *crash_watch_verdicts(const struct crash_watch *w)
 {
-	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct crash_news));
+	GArray *verdicts = g_array_new(FALSE, FALSE, sizeof(struct crash_news));
 	GHashTableIter it;
 	gpointer v;
 
@@ -359,20 +360,20 @@
 		struct crash_news news = verdict_news(c);
 
 		if (c->quarantined)
-			g_array_append_val(all, news);
+			g_array_append_val(verdicts, news);
 	}
-	return all;
+	return verdicts;
 }
 
 /* Tells those that have just joined which requests are refused. */
 static void broadcast_verdicts(struct crash_watch *w)
 {
-	GArray *all = crash_watch_verdicts(w);
+	GArray *verdicts = crash_watch_verdicts(w);
 
-	for (guint i = 0; i < all->len; i++)
-		tell(w, &g_array_index(all, struct crash_news, i),
-		     EVIDENCE_SENDS);
-	g_array_unref(all);
+	for (guint i = 0; i < verdicts->len; i++)
+		add_broadcast(w, &g_array_index(verdicts, struct crash_news, i),
+			      EVIDENCE_SENDS);
+	g_array_unref(verdicts);
 }
 
 /* crash_watch_tick() does what is due; call it every 0.1 s or so. */
@@ -403,7 +404,7 @@
 	w->channel = channel;
 	w->verdict = verdict;
 	w->priv = priv;
-	w->broadcasts = g_array_new(FALSE, FALSE, sizeof(struct telling));
+	w->broadcasts = g_array_new(FALSE, FALSE, sizeof(struct broadcast));
 	crash_ledger_init(&w->ledger, on_change, w);
 	crash_record_start(&w->record, loop, store, &channel->peers.self);
 	ev_init(&w->due, on_due);
--- a/control/ended_servers.c
+++ b/control/ended_servers.c
@@ -23,7 +23,7 @@
 	s->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 }
 
-static gboolean is_over(gpointer key, gpointer value, gpointer now_ms)
+static gboolean is_expired(gpointer key, gpointer value, gpointer now_ms)
 {
 	const struct ended_server *x = value;
 
@@ -37,7 +37,7 @@
 	struct ended_server *x = g_new0(struct ended_server, 1);
 
 	if (g_hash_table_size(s->by_id) >= REMOVED_MAX)
-		g_hash_table_foreach_remove(s->by_id, is_over, &now_ms);
+		g_hash_table_foreach_remove(s->by_id, is_expired, &now_ms);
 	x->entry = *e;
 	x->pos = pos;
 	x->at_ms = now_ms;
@@ -66,19 +66,19 @@
  * later era than the removal it may come from the copy.
  */
 enum entry_status ended_servers_classify(const struct ended_servers *s,
-					 const struct backend_entry *said,
+					 const struct backend_entry *e,
 					 struct store_position pos,
 					 int64_t now_ms)
 {
-	const struct ended_server *x = g_hash_table_lookup(s->by_id, said->id);
+	const struct ended_server *x = g_hash_table_lookup(s->by_id, e->id);
 	int64_t ago_ms = x ? now_ms - x->at_ms : 0;
 
 	if (!x)
 		return ENTRY_NEW;
 	if (pos.era > x->pos.era && ago_ms < BACKUP_AGE_MAX_MS &&
-	    !backend_entry_is_newer(said, &x->entry))
+	    !backend_entry_is_newer(e, &x->entry))
 		return ENTRY_UNCONFIRMED;
-	if (ago_ms < STALE_WRITE_MS && backend_entry_is_older(said, &x->entry))
+	if (ago_ms < STALE_WRITE_MS && backend_entry_is_older(e, &x->entry))
 		return ENTRY_STALE;
 	return ENTRY_NEW;
 }
--- a/control/feeder.c
+++ b/control/feeder.c
@@ -2,7 +2,7 @@
 
 enum {
 	/* The first hub repeats others' reads at the pace of its own. */
-	RELAY_MS = 450,
+	RELAY_INTERVAL_MS = 450,
 	/*
 	 * Changes of one feed at most, in nine datagrams of 1.2 KB: to 132
 	 * peers they are 1.4 MB, which a link of 10 Mbit/s takes 1.1 s to
@@ -18,7 +18,7 @@
  * changes of 432 servers would be 450 MB. So only hubs feed all, and others
  * tell the hubs what those could not read.
  */
-enum feed_to feeder_target_after_read(bool many, unsigned rank)
+enum feed_target feeder_target_after_read(bool many, unsigned rank)
 {
 	return many && rank >= HUBS ? FEED_HUBS : FEED_ALL;
 }
@@ -27,18 +27,18 @@
  * feeder_target_after_feed() tells whether this instance is to pass on what others
  * read: the first hub, when the list has become fresher since its last feed.
  */
-enum feed_to feeder_target_after_feed(const struct feeder *f, bool many,
-				      unsigned rank, int64_t list_fresh_ms,
-				      int64_t now_ms)
+enum feed_target feeder_target_after_feed(const struct feeder *f, bool many,
+					  unsigned rank, int64_t list_fresh_ms,
+					  int64_t now_ms)
 {
 	if (!many || rank != 0 || list_fresh_ms <= f->fresh_ms)
 		return FEED_NONE;
-	return now_ms - f->sent_ms >= RELAY_MS ? FEED_ALL : FEED_NONE;
+	return now_ms - f->sent_ms >= RELAY_INTERVAL_MS ? FEED_ALL : FEED_NONE;
 }
 
 /* feeder_send() sends the list's changes of late. */
 void feeder_send(struct feeder *f, struct peer_channel *ch,
-		 struct backend_list *list, enum feed_to to, int64_t now_ms)
+		 struct backend_list *list, enum feed_target to, int64_t now_ms)
 {
 	struct backend_feed feed;
 	struct buf b = {0};
--- a/control/feeder.h
+++ b/control/feeder.h
@@ -8,7 +8,7 @@
 #include "control/backend_list.h"
 #include "control/peer_channel.h"
 
-enum feed_to { FEED_NONE, FEED_HUBS, FEED_ALL };
+enum feed_target { FEED_NONE, FEED_HUBS, FEED_ALL };
 
 struct feeder {
 	struct store_position sent_pos; /* changes before it were sent */
@@ -16,11 +16,12 @@
 	int64_t sent_ms;
 };
 
-enum feed_to feeder_target_after_read(bool many, unsigned rank);
-enum feed_to feeder_target_after_feed(const struct feeder *f, bool many,
-				      unsigned rank, int64_t list_fresh_ms,
-				      int64_t now_ms);
+enum feed_target feeder_target_after_read(bool many, unsigned rank);
+enum feed_target feeder_target_after_feed(const struct feeder *f, bool many,
+					  unsigned rank, int64_t list_fresh_ms,
+					  int64_t now_ms);
 void feeder_send(struct feeder *f, struct peer_channel *ch,
-		 struct backend_list *list, enum feed_to to, int64_t now_ms);
+		 struct backend_list *list, enum feed_target to,
+		 int64_t now_ms);
 
 #endif
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -71,8 +71,8 @@
 }
 
 /* A live peer, drawn at random; NULL: there is none. */
-static const struct peer *any_live(const struct peer_channel *ch,
-				   int64_t now_ms)
+static const struct peer *random_live(const struct peer_channel *ch,
+				      int64_t now_ms)
 {
 	guint n = ch->peers.peers->len;
 	guint first = n ? (guint)g_random_int_range(0, (gint32)n) : 0;
@@ -95,7 +95,7 @@
 				  struct limit_call *call, int64_t now_ms)
 {
 	const struct peer *named = hubs_find(&ch->peers, call->to);
-	const struct peer *other = call->grant ? NULL : any_live(ch, now_ms);
+	const struct peer *other = call->grant ? NULL : random_live(ch, now_ms);
 	struct buf b = {0};
 
 	call->from = peer_id(ch->peers.self.name);
@@ -248,8 +248,8 @@
 }
 
 /* A peer that is new, started anew or was thought lost hears from here. */
-static void welcome(struct peer_channel *ch, const struct peer_info *info,
-		    int64_t now_ms)
+static void on_peer_joined(struct peer_channel *ch,
+			   const struct peer_info *info, int64_t now_ms)
 {
 	struct peer *p = peers_find(&ch->peers, info->name);
 	struct buf b = {0};
@@ -270,7 +270,7 @@
 
 	if (gossip_names_sender(m) &&
 	    peers_heard(&ch->peers, &m->sender, now_ms))
-		welcome(ch, &m->sender, now_ms);
+		on_peer_joined(ch, &m->sender, now_ms);
 	if (m->kind == GOSSIP_ROLL)
 		apply_roll(ch, m, now_ms);
 	else if (m->kind == GOSSIP_SAME)
--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -34,8 +34,8 @@
 #define CONFIG_WHOLE_PATH LSTR("/config/whole")
 
 /* Writes what this instance knows of the configuration, the list, or both. */
-static void write_own(const struct peer_fetch *in, bool config, bool backends,
-		      struct buf *body)
+static void write_snapshot(const struct peer_fetch *in, bool config,
+			   bool backends, struct buf *body)
 {
 	struct snapshot s;
 	int64_t now_ms = clock_ms();
@@ -71,11 +71,11 @@
 	    (!version && in->server.nconns > CONCURRENT_ANSWERS_MAX))
 		return 503;
 	if (lstr_eq(path, SNAPSHOT_WHOLE_PATH))
-		write_own(in, true, true, body);
+		write_snapshot(in, true, true, body);
 	else if (lstr_eq(path, SNAPSHOT_PATH))
-		write_own(in, small, true, body);
+		write_snapshot(in, small, true, body);
 	else if ((version && small) || lstr_eq(path, CONFIG_WHOLE_PATH))
-		write_own(in, true, false, body);
+		write_snapshot(in, true, false, body);
 	else
 		return 404;
 	return 200;
@@ -96,7 +96,7 @@
 static const struct http_server_ops server_ops = {on_request, NULL};
 
 /* Takes over what isn't known here by now. */
-static void take(struct peer_fetch *in, const struct snapshot *s)
+static void apply_snapshot(struct peer_fetch *in, const struct snapshot *s)
 {
 	bool config = in->config->version == 0;
 	bool backends = !in->backends->list.loaded;
@@ -121,7 +121,7 @@
 }
 
 /* A version that is new here; if it can't be used the store is read. */
-static void take_config(struct peer_fetch *in, const struct snapshot *s)
+static void apply_config(struct peer_fetch *in, const struct snapshot *s)
 {
 	if (config_watch_apply_peer(in->config, buf_lstr(&s->config),
 				    s->config_pos,
@@ -129,7 +129,8 @@
 		config_watch_read(in->config);
 }
 
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_verdict accept_response(void *priv,
+					 const struct http_message *m)
 {
 	return HTTP_TAKE;
 }
@@ -156,9 +157,9 @@
 	if (m->status != 200 || snapshot_read(buf_lstr(&m->body), &s))
 		on_no_answer(in, m->status, NULL);
 	else if (in->config_only)
-		take_config(in, &s);
+		apply_config(in, &s);
 	else
-		take(in, &s);
+		apply_snapshot(in, &s);
 	snapshot_clear(&s);
 	http_message_free(m);
 	http_client_close(&in->client);
@@ -170,10 +171,10 @@
 }
 
 static const struct http_client_ops client_ops = {
-	.judge = judge, .response = on_response, .failed = on_failed};
+	.judge = accept_response, .response = on_response, .failed = on_failed};
 
-static int ask(struct peer_fetch *in, const struct peer_info *peer,
-	       struct lstr path)
+static int send_request(struct peer_fetch *in, const struct peer_info *peer,
+			struct lstr path)
 {
 	struct http_limits limits = {.head_max = HEAD_MAX,
 				     .body_max = SNAPSHOT_MAX};
@@ -205,7 +206,7 @@
 {
 	if (in->client.state != CLIENT_CLOSED)
 		return in->config_only ? 0 : -EBUSY;
-	return ask(in, peer, whole ? CONFIG_WHOLE_PATH : CONFIG_PATH);
+	return send_request(in, peer, whole ? CONFIG_WHOLE_PATH : CONFIG_PATH);
 }
 
 /*
@@ -224,7 +225,8 @@
 		return;
 	in->asked_ms = now_ms;
 	/* If that fails at once another is asked next time. */
-	(void)ask(in, &p->info, whole ? SNAPSHOT_WHOLE_PATH : SNAPSHOT_PATH);
+	(void)send_request(in, &p->info,
+			   whole ? SNAPSHOT_WHOLE_PATH : SNAPSHOT_PATH);
 }
 
 /*
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -10,7 +10,7 @@
 	 * By then an instance that starts knows who is first, and verdicts that
 	 * are told repeatedly are known everywhere.
 	 */
-	SETTLE_MS = 2000,
+	CHECK_DELAY_MS = 2000,
 	RETRY_MS = 1000,
 	/* Bytes of one write; what doesn't fit is found missing once more. */
 	BATCH_MAX = 1 << 20,
@@ -72,7 +72,7 @@
 	return n;
 }
 
-static bool holds(const GArray *all, uint64_t digest)
+static bool contains(const GArray *all, uint64_t digest)
 {
 	for (guint i = 0; i < all->len; i++) {
 		if (g_array_index(all, struct crash_news, i).digest == digest)
@@ -82,16 +82,17 @@
 }
 
 /* Adds the verdicts that are held here and don't stand there. */
-static unsigned add_verdicts(const struct record_check *r, const GArray *held,
-			     struct buf *batch)
+static unsigned add_verdicts(const struct record_check *r,
+			     const GArray *verdicts_here, struct buf *batch)
 {
 	unsigned n = 0;
 
-	for (guint i = 0; i < held->len; i++) {
+	for (guint i = 0; i < verdicts_here->len; i++) {
 		const struct crash_news *news =
-			&g_array_index(held, struct crash_news, i);
+			&g_array_index(verdicts_here, struct crash_news, i);
 
-		if (holds(r->verdicts, news->digest) || batch->len > BATCH_MAX)
+		if (contains(r->verdicts, news->digest) ||
+		    batch->len > BATCH_MAX)
 			continue;
 		crash_record_batch(batch, &r->peers->self, news);
 		n++;
@@ -103,8 +104,8 @@
  * Drops verdicts that the copy has and nobody holds any more. One that wasn't here
  * in the era before may only not know them yet.
  */
-static unsigned drop_verdicts(const struct record_check *r, const GArray *held,
-			      struct buf *batch)
+static unsigned drop_verdicts(const struct record_check *r,
+			      const GArray *verdicts_here, struct buf *batch)
 {
 	unsigned n = 0;
 
@@ -112,7 +113,8 @@
 		struct crash_news news =
 			g_array_index(r->verdicts, struct crash_news, i);
 
-		if (holds(held, news.digest) || batch->len > BATCH_MAX)
+		if (contains(verdicts_here, news.digest) ||
+		    batch->len > BATCH_MAX)
 			continue;
 		news.kind = CRASH_NEWS_ANSWERED;
 		crash_record_batch(batch, &r->peers->self, &news);
@@ -124,15 +126,15 @@
 /* The listing is whole: writes what is lost. */
 static void compare(struct record_check *r, int64_t now_ms)
 {
-	GArray *held = crash_watch_verdicts(r->crashes);
+	GArray *verdicts_here = crash_watch_verdicts(r->crashes);
 	uint64_t era = r->store.listing_era;
 	unsigned members, verdicts, dropped = 0;
 	struct buf batch = {0};
 
 	members = add_members(r, &batch, now_ms);
-	verdicts = add_verdicts(r, held, &batch);
+	verdicts = add_verdicts(r, verdicts_here, &batch);
 	if (era > r->first_era)
-		dropped = drop_verdicts(r, held, &batch);
+		dropped = drop_verdicts(r, verdicts_here, &batch);
 	mp_event(EV_RECORDS_RESTORED, G_LOG_LEVEL_MESSAGE,
 		 "era=%" G_GUINT64_FORMAT
 		 " members=%u verdicts=%u dropped=%u found=%u",
@@ -146,7 +148,7 @@
 	else
 		r->checked_era = era;
 	buf_free(&batch);
-	g_array_unref(held);
+	g_array_unref(verdicts_here);
 	clear_listing(r);
 }
 
@@ -192,7 +194,7 @@
 
 	if (era != r->seen_era) {
 		r->seen_era = era;
-		r->due_ms = now_ms + SETTLE_MS;
+		r->due_ms = now_ms + CHECK_DELAY_MS;
 		if (!r->first_era)
 			r->first_era = era;
 	}
--- a/tests/backend_lists.h
+++ b/tests/backend_lists.h
@@ -50,7 +50,8 @@
 	backend_list_apply_record(l, &c, now);
 }
 
-static inline void list_anew(struct backend_list *l, uint64_t end, int64_t now)
+static inline void read_empty_listing(struct backend_list *l, uint64_t end,
+				      int64_t now)
 {
 	backend_list_replace_begin(l, 1, now);
 	backend_list_replace_end(l, at(end), now, now);
@@ -63,8 +64,8 @@
 	return what ? what : "gone";
 }
 
-static inline void feed_to(struct backend_list *from, struct backend_list *to,
-			   bool expect, int64_t now)
+static inline void send_feed(struct backend_list *from, struct backend_list *to,
+			     bool expect, int64_t now)
 {
 	struct backend_feed f;
 
--- a/tests/scripted_store.h
+++ b/tests/scripted_store.h
@@ -62,7 +62,7 @@
 		scripted_reply(s);
 }
 
-static inline void scripted_gone(void *priv, struct http_conn *c)
+static inline void scripted_closed(void *priv, struct http_conn *c)
 {
 	((struct scripted_store *)priv)->held = NULL;
 }
@@ -82,7 +82,7 @@
 static inline struct scripted_store *scripted_store_new(const char *addr)
 {
 	static const struct http_server_ops ops = {scripted_request,
-						   scripted_gone};
+						   scripted_closed};
 	struct scripted_store *s = g_new0(struct scripted_store, 1);
 	struct sockaddr_in sa;
 
--- a/tests/test_backend_histories.c
+++ b/tests/test_backend_histories.c
@@ -6,22 +6,22 @@
 
 #include "tests/backend_lists.h"
 
-enum { COPIED_HISTORIES = 200, STEPS = 400, INSTANCES = 4, IDS = 6 };
+enum { HISTORIES = 200, STEPS = 400, INSTANCES = 4, IDS = 6 };
 
 /* A store that comes back from copies, and the servers that write to it. */
-struct copied_world {
-	GArray *log, *copy; /* struct backend_change, at their offsets */
+struct simulation {
+	GArray *log, *backup; /* struct backend_change, at their offsets */
 	uint64_t era;
 	struct backend_change truth[IDS]; /* the last word of each server */
 	int64_t write_ms[IDS]; /* it writes again then; 0: it needn't */
-	GArray *ghosts;	       /* struct backend_change, at their lapse */
+	GArray *expiries;      /* struct backend_change, at their lapse */
 	struct backend_list lists[INSTANCES];
 	struct seen seen[INSTANCES];
 	GRand *rand;
 	int64_t now;
 };
 
-static void write_truth(struct copied_world *w, int i)
+static void write_truth(struct simulation *w, int i)
 {
 	struct backend_change c = w->truth[i];
 
@@ -31,21 +31,21 @@
 }
 
 /* A server goes on in its life; one that has left is followed by another. */
-static void live(struct copied_world *w, int i)
+static void advance_server(struct simulation *w, int i)
 {
 	struct backend_change *c = &w->truth[i];
-	static unsigned lives;
+	static unsigned alive;
 
 	c->entry.sequence++;
 	if (c->removed && w->write_ms[i]) {
 		/* Its lost removal is made good by the lease's end. */
 		c->pos.offset = (uint64_t)w->now + 4500;
-		g_array_append_val(w->ghosts, *c);
+		g_array_append_val(w->expiries, *c);
 	}
 	if (c->removed) {
 		*c = change(0, "", "ready");
 		g_snprintf(c->entry.id, sizeof(c->entry.id), "i-%d-%u", i,
-			   ++lives);
+			   ++alive);
 		c->entry.born_ms = (uint64_t)w->now;
 	} else if (c->entry.draining) {
 		c->removed = true;
@@ -56,7 +56,7 @@
 }
 
 /* Whether the log's last word of a server is its own last word. */
-static bool is_written(const struct copied_world *w, int i)
+static bool is_written(const struct simulation *w, int i)
 {
 	for (guint k = w->log->len; k > 0; k--) {
 		const struct backend_change *c =
@@ -70,48 +70,48 @@
 }
 
 /* The entries of those that are gone lapse once more. */
-static void plan_lapses(struct copied_world *w)
+static void schedule_expiries(struct simulation *w)
 {
-	g_array_set_size(w->ghosts, 0);
+	g_array_set_size(w->expiries, 0);
 	for (guint k = 0; k < w->log->len; k++) {
 		struct backend_change c =
 			g_array_index(w->log, struct backend_change, k);
-		bool lives = c.removed;
+		bool alive = c.removed;
 
 		for (int i = 0; i < IDS; i++)
-			lives = lives ||
+			alive = alive ||
 				!strcmp(w->truth[i].entry.id, c.entry.id);
-		if (lives)
+		if (alive)
 			continue;
 		c.removed = true;
 		c.pos.offset = (uint64_t)w->now + 4500;
-		g_array_append_val(w->ghosts, c);
+		g_array_append_val(w->expiries, c);
 	}
 }
 
-static void write_lapses(struct copied_world *w, bool all)
+static void write_expiries(struct simulation *w, bool all)
 {
-	for (guint i = w->ghosts->len; i > 0; i--) {
-		struct backend_change c =
-			g_array_index(w->ghosts, struct backend_change, i - 1);
+	for (guint i = w->expiries->len; i > 0; i--) {
+		struct backend_change c = g_array_index(
+			w->expiries, struct backend_change, i - 1);
 
 		if (!all && (int64_t)c.pos.offset > w->now)
 			continue;
 		c.pos = in_era(w->era, w->log->len);
 		g_array_append_val(w->log, c);
-		g_array_remove_index(w->ghosts, i - 1);
+		g_array_remove_index(w->expiries, i - 1);
 	}
 }
 
-static void copied_restore(struct copied_world *w)
+static void restore_backup(struct simulation *w)
 {
 	g_array_set_size(w->log, 0);
-	g_array_append_vals(w->log, w->copy->data, w->copy->len);
+	g_array_append_vals(w->log, w->backup->data, w->backup->len);
 	w->era++;
 	for (guint k = 0; k < w->log->len; k++)
 		g_array_index(w->log, struct backend_change, k).pos.era =
 			w->era;
-	plan_lapses(w);
+	schedule_expiries(w);
 	for (int i = 0; i < IDS; i++) {
 		if (!is_written(w, i))
 			w->write_ms[i] =
@@ -120,7 +120,7 @@
 }
 
 /* The newest record of each key that has a value, as a listing has them. */
-static void copied_list(struct copied_world *w, struct backend_list *l)
+static void read_listing(struct simulation *w, struct backend_list *l)
 {
 	backend_list_replace_begin(l, w->era, w->now);
 	for (guint k = 0; k < w->log->len; k++) {
@@ -140,13 +140,13 @@
 				 w->now);
 }
 
-static void copied_read(struct copied_world *w, int i)
+static void read_and_feed(struct simulation *w, int i)
 {
 	struct backend_list *l = &w->lists[i];
 	struct backend_feed f;
 
 	if (l->pos.era != w->era) {
-		copied_list(w, l);
+		read_listing(w, l);
 	} else {
 		backend_list_read_begin(l, w->now);
 		for (guint k = (guint)l->pos.offset; k < w->log->len; k++)
@@ -163,40 +163,40 @@
 			continue;
 		backend_list_build_feed(l, &f, w->now);
 		if (!backend_list_apply_feed(&w->lists[k], &f, w->now))
-			copied_list(w, &w->lists[k]);
+			read_listing(w, &w->lists[k]);
 	}
 }
 
-static void copied_step(struct copied_world *w)
+static void simulation_step(struct simulation *w)
 {
 	w->now += g_rand_int_range(w->rand, 1, 100);
 	for (int i = 0; i < IDS; i++) {
 		if (w->write_ms[i] && w->write_ms[i] <= w->now)
 			write_truth(w, i);
 	}
-	write_lapses(w, false);
+	write_expiries(w, false);
 	switch (g_rand_int_range(w->rand, 0, 40)) {
 	case 0:
-		g_array_set_size(w->copy, 0);
-		g_array_append_vals(w->copy, w->log->data, w->log->len);
+		g_array_set_size(w->backup, 0);
+		g_array_append_vals(w->backup, w->log->data, w->log->len);
 		break;
 	case 1:
-		copied_restore(w);
+		restore_backup(w);
 		break;
 	case 2:
 	case 3:
 	case 4:
-		live(w, g_rand_int_range(w->rand, 0, IDS));
+		advance_server(w, g_rand_int_range(w->rand, 0, IDS));
 		break;
 	default:
-		copied_read(w, g_rand_int_range(w->rand, 0, INSTANCES));
+		read_and_feed(w, g_rand_int_range(w->rand, 0, INSTANCES));
 		break;
 	}
 	for (int k = 0; k < INSTANCES; k++)
 		backend_list_apply_deferred(&w->lists[k], w->now);
 }
 
-static void expect_truth(struct copied_world *w, guint32 seed)
+static void expect_truth(struct simulation *w, guint32 seed)
 {
 	for (int i = 0; i < INSTANCES; i++) {
 		guint n = 0;
@@ -221,32 +221,32 @@
 	}
 }
 
-static void run_copied_history(guint32 seed)
+static void run_history(guint32 seed)
 {
-	struct copied_world w = {
+	struct simulation w = {
 		.rand = g_rand_new_with_seed(seed), .era = 1, .now = 1000};
 
 	w.log = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
-	w.copy = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
-	w.ghosts = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
+	w.backup = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
+	w.expiries = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 	for (int i = 0; i < IDS; i++)
 		w.truth[i] = change(0, "none", "gone");
 	for (int i = 0; i < IDS; i++)
-		live(&w, i);
+		advance_server(&w, i);
 	for (int i = 0; i < INSTANCES; i++) {
 		init(&w.lists[i], &w.seen[i]);
-		copied_list(&w, &w.lists[i]);
+		read_listing(&w, &w.lists[i]);
 	}
 	for (int i = 0; i < STEPS; i++)
-		copied_step(&w);
+		simulation_step(&w);
 	/* All that was lost is written again, and what is missing settles. */
 	for (int i = 0; i < IDS; i++) {
 		if (w.write_ms[i])
 			write_truth(&w, i);
 	}
-	write_lapses(&w, true);
+	write_expiries(&w, true);
 	for (int i = 0; i < 3 * INSTANCES; i++) {
-		copied_read(&w, i % INSTANCES);
+		read_and_feed(&w, i % INSTANCES);
 		w.now += 1000;
 		for (int k = 0; k < INSTANCES; k++)
 			backend_list_apply_deferred(&w.lists[k], w.now);
@@ -254,25 +254,25 @@
 	expect_truth(&w, seed);
 	g_rand_free(w.rand);
 	g_array_unref(w.log);
-	g_array_unref(w.copy);
-	g_array_unref(w.ghosts);
+	g_array_unref(w.backup);
+	g_array_unref(w.expiries);
 }
 
-static void test_histories_with_copies(void **state)
+static void test_histories_with_restores(void **state)
 {
 	const char *env = g_getenv("MP_SEED");
 	guint32 seed =
 		env ? (guint32)g_ascii_strtoull(env, NULL, 10) : 20261203;
 
 	print_message("seed %u\n", seed);
-	for (guint32 i = 0; i < COPIED_HISTORIES; i++)
-		run_copied_history(seed + i);
+	for (guint32 i = 0; i < HISTORIES; i++)
+		run_history(seed + i);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_histories_with_copies),
+		cmocka_unit_test(test_histories_with_restores),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_backend_list.c
+++ b/tests/test_backend_list.c
@@ -13,7 +13,7 @@
 	struct seen s;
 
 	init(&l, &s);
-	list_anew(&l, 10, 1000);
+	read_empty_listing(&l, 10, 1000);
 	record(&l, 10, "a", "ready", 1000);
 	assert_string_equal(state_of(&s, "a"), "ready");
 	record(&l, 11, "a", "draining", 1000);
@@ -26,13 +26,13 @@
 }
 
 /* Entries that lapsed while the store was away have two seconds. */
-static void test_lapsed_come_back(void **state)
+static void test_expired_entries_return(void **state)
 {
 	struct backend_list l;
 	struct seen s;
 
 	init(&l, &s);
-	list_anew(&l, 0, 1000);
+	read_empty_listing(&l, 0, 1000);
 	record(&l, 0, "a", "ready", 1000);
 	record(&l, 1, "b", "ready", 1000);
 	backend_list_advance(&l, at(2), 1000, 1000);
@@ -56,13 +56,13 @@
 }
 
 /* In quiet times a removal counts at once. */
-static void test_removed_at_once(void **state)
+static void test_removal_without_silence(void **state)
 {
 	struct backend_list l;
 	struct seen s;
 
 	init(&l, &s);
-	list_anew(&l, 0, 1000);
+	read_empty_listing(&l, 0, 1000);
 	record(&l, 0, "a", "ready", 1000);
 	backend_list_advance(&l, at(1), 1000, 1000);
 	backend_list_read_begin(&l, 1500);
@@ -70,8 +70,9 @@
 	assert_string_equal(state_of(&s, "a"), "gone");
 }
 
-static void word(struct backend_list *l, uint64_t offset, uint64_t born_ms,
-		 uint64_t sequence, const char *what, int64_t now)
+static void write_entry(struct backend_list *l, uint64_t offset,
+			uint64_t born_ms, uint64_t sequence, const char *what,
+			int64_t now)
 {
 	struct backend_change c = change(offset, "i-1", what);
 
@@ -81,31 +82,31 @@
 }
 
 /* Records that come late, of an earlier start or an earlier word, say nothing. */
-static void test_earlier_words(void **state)
+static void test_stale_records(void **state)
 {
 	struct backend_list l;
 	struct seen s;
 
 	init(&l, &s);
-	list_anew(&l, 1, 1000);
-	word(&l, 1, 5000, 8, "draining", 1000);
-	word(&l, 2, 5000, 7, "ready", 1010);
+	read_empty_listing(&l, 1, 1000);
+	write_entry(&l, 1, 5000, 8, "draining", 1000);
+	write_entry(&l, 2, 5000, 7, "ready", 1010);
 	assert_string_equal(state_of(&s, "i-1"), "draining");
 	/* It starts again: its count begins anew, and its state. */
-	word(&l, 3, 9000, 0, "ready", 1020);
+	write_entry(&l, 3, 9000, 0, "ready", 1020);
 	assert_string_equal(state_of(&s, "i-1"), "ready");
-	word(&l, 4, 5000, 9, "draining", 1030);
+	write_entry(&l, 4, 5000, 9, "draining", 1030);
 	assert_string_equal(state_of(&s, "i-1"), "ready");
 	/* Nor do they bring back one that has left. */
 	record(&l, 5, "i-1", "gone", 1040);
 	assert_string_equal(state_of(&s, "i-1"), "gone");
-	word(&l, 6, 5000, 9, "ready", 1050);
+	write_entry(&l, 6, 5000, 9, "ready", 1050);
 	assert_string_equal(state_of(&s, "i-1"), "gone");
 	/* Its next word, or its next start, does. */
-	word(&l, 7, 9000, 1, "ready", 1060);
+	write_entry(&l, 7, 9000, 1, "ready", 1060);
 	assert_string_equal(state_of(&s, "i-1"), "ready");
 	record(&l, 8, "i-1", "gone", 1070);
-	word(&l, 9, 9500, 0, "ready", 1080);
+	write_entry(&l, 9, 9500, 0, "ready", 1080);
 	assert_string_equal(state_of(&s, "i-1"), "ready");
 	/* Of one that tells no start the last record counts. */
 	record(&l, 10, "i-2", "draining", 1090);
@@ -120,13 +121,13 @@
 
 	init(&reader, &rs);
 	init(&fed, &fs);
-	list_anew(&reader, 0, 1000);
+	read_empty_listing(&reader, 0, 1000);
 	/* One that knows nothing must list by itself. */
-	feed_to(&reader, &fed, false, 1000);
-	list_anew(&fed, 0, 1000);
+	send_feed(&reader, &fed, false, 1000);
+	read_empty_listing(&fed, 0, 1000);
 	record(&reader, 0, "a", "ready", 1400);
 	backend_list_advance(&reader, at(5), 1400, 1400);
-	feed_to(&reader, &fed, true, 1450);
+	send_feed(&reader, &fed, true, 1450);
 	assert_string_equal(state_of(&fs, "a"), "ready");
 	assert_int_equal(fed.pos.offset, 5);
 	assert_int_equal(fed.fresh_ms, 1400);
@@ -135,16 +136,16 @@
 	backend_list_advance(&reader, at(9), 1900, 1900);
 	record(&reader, 9, "a", "draining", 2400);
 	backend_list_advance(&reader, at(12), 2400, 2400);
-	feed_to(&reader, &fed, true, 2400);
+	send_feed(&reader, &fed, true, 2400);
 	assert_string_equal(state_of(&fs, "b"), "ready");
 	assert_string_equal(state_of(&fs, "a"), "draining");
 	/* A feed that comes twice or late changes nothing. */
-	feed_to(&reader, &fed, true, 2410);
+	send_feed(&reader, &fed, true, 2410);
 	/* After a long silence the covered changes are too new. */
 	record(&reader, 12, "c", "ready", 2900);
 	backend_list_advance(&reader, at(14), 2900, 2900);
 	backend_list_advance(&reader, at(30), 6000, 6000);
-	feed_to(&reader, &fed, false, 6000);
+	send_feed(&reader, &fed, false, 6000);
 	assert_string_equal(state_of(&fs, "c"), "gone");
 }
 
@@ -152,30 +153,30 @@
  * Removals that a reader holds back reach its peers as held back, whether
  * the entry returns or not.
  */
-static void test_settling_is_fed(void **state)
+static void test_deferred_removal_is_fed(void **state)
 {
 	struct backend_list reader, fed;
 	struct seen rs, fs;
 
 	init(&reader, &rs);
 	init(&fed, &fs);
-	list_anew(&reader, 0, 1000);
-	list_anew(&fed, 0, 1000);
+	read_empty_listing(&reader, 0, 1000);
+	read_empty_listing(&fed, 0, 1000);
 	record(&reader, 0, "a", "ready", 1000);
 	record(&reader, 1, "b", "ready", 1000);
 	backend_list_advance(&reader, at(2), 1000, 1000);
-	feed_to(&reader, &fed, true, 1000);
+	send_feed(&reader, &fed, true, 1000);
 	backend_list_read_begin(&reader, 9000);
 	record(&reader, 2, "a", "gone", 9000);
 	record(&reader, 3, "b", "gone", 9000);
 	backend_list_advance(&reader, at(4), 9000, 9000);
 	/* The fed one heard of the outage by nothing else. */
 	fed.fresh_ms = 8900;
-	feed_to(&reader, &fed, true, 9010);
+	send_feed(&reader, &fed, true, 9010);
 	assert_string_equal(state_of(&fs, "a"), "ready");
 	record(&reader, 4, "b", "ready", 10000);
 	backend_list_advance(&reader, at(5), 10000, 10000);
-	feed_to(&reader, &fed, true, 10010);
+	send_feed(&reader, &fed, true, 10010);
 	backend_list_apply_deferred(&fed, 11300);
 	backend_list_apply_deferred(&reader, 11300);
 	assert_string_equal(state_of(&fs, "a"), "gone");
@@ -193,7 +194,7 @@
 
 	init(&l, &s);
 	init(&fresh, &fs);
-	list_anew(&l, 0, 1000);
+	read_empty_listing(&l, 0, 1000);
 	record(&l, 3, "a", "ready", 1000);
 	record(&l, 4, "b", "draining", 1000);
 	record(&l, 5, "c", "ready", 1000);
@@ -216,7 +217,7 @@
  * A peer's list that is older than what is known here: it takes nothing away
  * and changes nothing back.
  */
-static void test_import_older(void **state)
+static void test_import_stale(void **state)
 {
 	struct backend_list l, old;
 	struct seen seen, old_seen;
@@ -224,13 +225,13 @@
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 
 	init(&old, &old_seen);
-	list_anew(&old, 0, 1000);
+	read_empty_listing(&old, 0, 1000);
 	c = change(1, "i-1", "ready");
 	backend_list_apply_record(&old, &c, 1000);
 	backend_list_advance(&old, at(2), 1000, 1000);
 	backend_list_export(&old, all);
 	init(&l, &seen);
-	list_anew(&l, 0, 1000);
+	read_empty_listing(&l, 0, 1000);
 	c = change(5, "i-1", "draining");
 	backend_list_apply_record(&l, &c, 1100);
 	c = change(6, "i-2", "ready");
@@ -273,10 +274,10 @@
 			8000);
 }
 
-enum { HISTORIES = 60, STEPS = 400, INSTANCES = 4, IDS = 6 };
+enum { RUNS = 60, STEPS = 400, INSTANCES = 4, IDS = 6 };
 
 /* The log of a seeded history and the instances that follow it. */
-struct world {
+struct simulation {
 	GArray *log; /* struct backend_change, at its offset */
 	struct backend_list lists[INSTANCES];
 	struct seen seen[INSTANCES];
@@ -284,7 +285,7 @@
 	int64_t now;
 };
 
-static void world_write(struct world *w)
+static void simulation_write(struct simulation *w)
 {
 	static const char *const what[] = {"ready", "draining", "gone"};
 	char id[8];
@@ -296,7 +297,7 @@
 }
 
 /* Instance i reads from the log and feeds the others; datagrams get lost. */
-static void world_read(struct world *w, int i)
+static void simulation_read(struct simulation *w, int i)
 {
 	struct backend_list *l = &w->lists[i];
 	struct backend_feed f;
@@ -318,26 +319,27 @@
 
 static void run_history(guint32 seed)
 {
-	struct world w = {.rand = g_rand_new_with_seed(seed), .now = 1000};
+	struct simulation w = {.rand = g_rand_new_with_seed(seed), .now = 1000};
 
 	w.log = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 	for (int i = 0; i < INSTANCES; i++) {
 		init(&w.lists[i], &w.seen[i]);
-		list_anew(&w.lists[i], 0, w.now);
+		read_empty_listing(&w.lists[i], 0, w.now);
 	}
 	for (int i = 0; i < STEPS; i++) {
 		w.now += g_rand_int_range(w.rand, 1, 300);
 		if (g_rand_int_range(w.rand, 0, 40) == 0)
 			w.now += 5000; /* the store was away */
 		if (g_rand_int_range(w.rand, 0, 3))
-			world_write(&w);
+			simulation_write(&w);
 		else
-			world_read(&w, g_rand_int_range(w.rand, 0, INSTANCES));
+			simulation_read(&w,
+					g_rand_int_range(w.rand, 0, INSTANCES));
 		for (int k = 0; k < INSTANCES; k++)
 			backend_list_apply_deferred(&w.lists[k], w.now);
 	}
 	for (int i = 0; i < INSTANCES; i++)
-		world_read(&w, i);
+		simulation_read(&w, i);
 	w.now += 5000;
 	for (int k = 0; k < IDS; k++) {
 		char id[8];
@@ -373,7 +375,7 @@
 		env ? (guint32)g_ascii_strtoull(env, NULL, 10) : 20261202;
 
 	print_message("seed %u\n", seed);
-	for (guint32 i = 0; i < HISTORIES; i++)
+	for (guint32 i = 0; i < RUNS; i++)
 		run_history(seed + i);
 }
 
@@ -381,13 +383,13 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_records),
-		cmocka_unit_test(test_lapsed_come_back),
-		cmocka_unit_test(test_removed_at_once),
-		cmocka_unit_test(test_earlier_words),
+		cmocka_unit_test(test_expired_entries_return),
+		cmocka_unit_test(test_removal_without_silence),
+		cmocka_unit_test(test_stale_records),
 		cmocka_unit_test(test_feed_and_gap),
-		cmocka_unit_test(test_settling_is_fed),
+		cmocka_unit_test(test_deferred_removal_is_fed),
 		cmocka_unit_test(test_import),
-		cmocka_unit_test(test_import_older),
+		cmocka_unit_test(test_import_stale),
 		cmocka_unit_test(test_read_due),
 		cmocka_unit_test(test_histories),
 	};
--- a/tests/test_backend_restore.c
+++ b/tests/test_backend_restore.c
@@ -7,9 +7,9 @@
 #include "tests/backend_lists.h"
 
 /* An entry with its word, as it stands in an era. */
-static void say(struct backend_list *l, struct store_position pos,
-		const char *id, uint64_t sequence, const char *what,
-		int64_t now)
+static void write_entry(struct backend_list *l, struct store_position pos,
+			const char *id, uint64_t sequence, const char *what,
+			int64_t now)
 {
 	struct backend_change c = change(0, id, what);
 
@@ -20,57 +20,57 @@
 }
 
 /* A list with a and b, the first 8 records of era 1 taken in at 1,000 ms. */
-static void begin_copied(struct backend_list *l, struct seen *s)
+static void begin_two_entries(struct backend_list *l, struct seen *s)
 {
 	init(l, s);
-	list_anew(l, 0, 1000);
-	say(l, in_era(1, 0), "a", 1, "ready", 1000);
-	say(l, in_era(1, 1), "b", 1, "ready", 1000);
+	read_empty_listing(l, 0, 1000);
+	write_entry(l, in_era(1, 0), "a", 1, "ready", 1000);
+	write_entry(l, in_era(1, 1), "b", 1, "ready", 1000);
 	backend_list_advance(l, in_era(1, 8), 1000, 1000);
 }
 
 /* The copy is read by one that missed what another knows. */
-static void copy_without_draining(struct backend_list *l)
+static void list_restored(struct backend_list *l)
 {
 	backend_list_replace_begin(l, 2, 1500);
-	say(l, in_era(2, 0), "a", 1, "ready", 1500);
-	say(l, in_era(2, 1), "b", 1, "ready", 1500);
+	write_entry(l, in_era(2, 0), "a", 1, "ready", 1500);
+	write_entry(l, in_era(2, 1), "b", 1, "ready", 1500);
 	backend_list_replace_end(l, in_era(2, 2), 1500, 1500);
 }
 
-static void test_left_server_of_the_copy_stays_off(void **state)
+static void test_removed_server_in_backup_stays_removed(void **state)
 {
 	struct backend_list l;
 	struct seen s;
 
-	begin_copied(&l, &s);
+	begin_two_entries(&l, &s);
 	record(&l, 8, "b", "gone", 1100);
 	backend_list_advance(&l, in_era(1, 9), 1100, 1100);
 	backend_list_replace_begin(&l, 2, 1500);
-	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
-	say(&l, in_era(2, 1), "b", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 0), "a", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 1), "b", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 2), 1500, 1500);
 	assert_string_equal(state_of(&s, "b"), "gone");
 	/* Its removal is written again. */
-	say(&l, in_era(2, 2), "b", 0, "gone", 2500);
+	write_entry(&l, in_era(2, 2), "b", 0, "gone", 2500);
 	backend_list_apply_deferred(&l, 60000);
 	assert_string_equal(state_of(&s, "b"), "gone");
 	assert_string_equal(state_of(&s, "a"), "ready");
 }
 
 /* It lapsed and came back in the lost seconds: nobody removes it again. */
-static void test_doubted_server_that_lives_is_back(void **state)
+static void test_unconfirmed_server_returns_unless_removed(void **state)
 {
 	struct backend_list l;
 	struct seen s;
 
-	begin_copied(&l, &s);
+	begin_two_entries(&l, &s);
 	record(&l, 8, "a", "gone", 1100);
 	record(&l, 9, "b", "gone", 1100);
 	backend_list_advance(&l, in_era(1, 10), 1100, 1100);
 	backend_list_replace_begin(&l, 2, 1500);
-	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
-	say(&l, in_era(2, 1), "b", 2, "ready", 1500);
+	write_entry(&l, in_era(2, 0), "a", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 1), "b", 2, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 2), 1500, 1500);
 	/* A later word than its last proves it. */
 	assert_string_equal(state_of(&s, "b"), "ready");
@@ -81,41 +81,41 @@
 	assert_string_equal(state_of(&s, "a"), "ready");
 }
 
-static void test_joined_server_stays_until_it_writes_again(void **state)
+static void test_server_missing_from_backup_is_kept(void **state)
 {
 	struct backend_list l;
 	struct seen s;
 
-	begin_copied(&l, &s);
-	say(&l, in_era(1, 8), "c", 1, "ready", 1100);
-	say(&l, in_era(1, 9), "d", 1, "ready", 1100);
+	begin_two_entries(&l, &s);
+	write_entry(&l, in_era(1, 8), "c", 1, "ready", 1100);
+	write_entry(&l, in_era(1, 9), "d", 1, "ready", 1100);
 	backend_list_advance(&l, in_era(1, 10), 1100, 1100);
 	backend_list_replace_begin(&l, 2, 1500);
-	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
-	say(&l, in_era(2, 1), "b", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 0), "a", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 1), "b", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 2), 1500, 1500);
 	backend_list_apply_deferred(&l, 3500);
 	assert_string_equal(state_of(&s, "c"), "ready");
 	assert_string_equal(state_of(&s, "d"), "ready");
-	say(&l, in_era(2, 2), "c", 2, "ready", 3500);
+	write_entry(&l, in_era(2, 2), "c", 2, "ready", 3500);
 	backend_list_apply_deferred(&l, 3800);
 	assert_string_equal(state_of(&s, "c"), "ready");
 	assert_string_equal(state_of(&s, "d"), "gone");
 }
 
 /* It lapsed before the copy and was back after it, or has left since. */
-static void test_removal_in_the_copy_is_no_news(void **state)
+static void test_earlier_removal_in_backup_is_ignored(void **state)
 {
 	struct backend_change gone = change(0, "c", "gone");
 	struct backend_list l;
 	struct seen s;
 
-	begin_copied(&l, &s);
-	say(&l, in_era(1, 8), "c", 1, "ready", 1100);
-	say(&l, in_era(1, 9), "c", 0, "gone", 1100);
-	say(&l, in_era(1, 12), "c", 2, "ready", 1200);
+	begin_two_entries(&l, &s);
+	write_entry(&l, in_era(1, 8), "c", 1, "ready", 1100);
+	write_entry(&l, in_era(1, 9), "c", 0, "gone", 1100);
+	write_entry(&l, in_era(1, 12), "c", 2, "ready", 1200);
 	backend_list_advance(&l, in_era(1, 13), 1200, 1200);
-	copy_without_draining(&l);
+	list_restored(&l);
 	gone.pos = in_era(2, 9);
 	backend_list_remove_deferred(&l, &gone, 1500);
 	assert_string_equal(state_of(&s, "c"), "ready");
@@ -124,55 +124,55 @@
 	assert_string_equal(state_of(&s, "c"), "gone");
 }
 
-static void test_draining_that_the_copy_lacks_holds(void **state)
+static void test_draining_missing_from_backup_is_kept(void **state)
 {
 	struct backend_list l;
 	struct seen s;
 
-	begin_copied(&l, &s);
-	say(&l, in_era(1, 8), "a", 2, "draining", 1100);
+	begin_two_entries(&l, &s);
+	write_entry(&l, in_era(1, 8), "a", 2, "draining", 1100);
 	backend_list_replace_begin(&l, 2, 1500);
-	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
-	say(&l, in_era(2, 1), "b", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 0), "a", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 1), "b", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 2), 1500, 1500);
 	assert_string_equal(state_of(&s, "a"), "draining");
 	/* And what is said in the new era counts at once. */
-	say(&l, in_era(2, 2), "b", 2, "draining", 1600);
+	write_entry(&l, in_era(2, 2), "b", 2, "draining", 1600);
 	assert_string_equal(state_of(&s, "b"), "draining");
-	say(&l, in_era(2, 3), "a", 3, "gone", 1600);
+	write_entry(&l, in_era(2, 3), "a", 3, "gone", 1600);
 	assert_string_equal(state_of(&s, "a"), "gone");
 }
 
 /* Its reader may end before the doubt does. */
-static void test_doubt_is_fed(void **state)
+static void test_unconfirmed_entry_is_fed(void **state)
 {
 	struct backend_list reader, fed;
 	struct seen rs, fs;
 
-	begin_copied(&reader, &rs);
-	begin_copied(&fed, &fs);
+	begin_two_entries(&reader, &rs);
+	begin_two_entries(&fed, &fs);
 	record(&reader, 8, "b", "gone", 1100);
 	backend_list_advance(&reader, in_era(1, 9), 1100, 1100);
-	feed_to(&reader, &fed, true, 1110);
-	copy_without_draining(&reader);
-	feed_to(&reader, &fed, true, 1510);
+	send_feed(&reader, &fed, true, 1110);
+	list_restored(&reader);
+	send_feed(&reader, &fed, true, 1510);
 	assert_string_equal(state_of(&fs, "b"), "gone");
 	backend_list_apply_deferred(&fed, 9000);
 	assert_string_equal(state_of(&fs, "b"), "ready");
 }
 
 /* A listing comes by key; a feed of several datagrams needs the log's order. */
-static void test_news_of_a_copy_are_in_order(void **state)
+static void test_feed_after_restore_is_ordered(void **state)
 {
 	struct backend_feed f;
 	struct backend_list l;
 	struct seen s;
 
-	begin_copied(&l, &s);
+	begin_two_entries(&l, &s);
 	backend_list_replace_begin(&l, 2, 1500);
-	say(&l, in_era(2, 7), "c", 1, "ready", 1500);
-	say(&l, in_era(2, 3), "d", 1, "ready", 1500);
-	say(&l, in_era(2, 5), "e", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 7), "c", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 3), "d", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 5), "e", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 8), 1500, 1500);
 	backend_list_build_feed(&l, &f, 1500);
 	assert_in_range(f.changes->len, 5, 7);
@@ -187,14 +187,14 @@
 }
 
 /* Words of a server that doesn't tell its start have an order there as well. */
-static void test_draining_without_a_start_holds(void **state)
+static void test_draining_without_start_time_is_kept(void **state)
 {
 	struct backend_change c = change(0, "a", "draining");
 	struct backend_list l;
 	struct seen s;
 
 	init(&l, &s);
-	list_anew(&l, 0, 1000);
+	read_empty_listing(&l, 0, 1000);
 	c.entry.sequence = 2;
 	backend_list_apply_record(&l, &c, 1000);
 	backend_list_advance(&l, in_era(1, 1), 1000, 1000);
@@ -208,84 +208,84 @@
 }
 
 /* A record that is known to its reader from the old era is news to others. */
-static void test_known_record_is_fed_in_the_new_era(void **state)
+static void test_known_record_is_fed_in_new_era(void **state)
 {
 	struct backend_list reader, knows, lists;
 	struct seen rs, ks, ls;
 
-	begin_copied(&reader, &rs);
-	begin_copied(&knows, &ks);
-	begin_copied(&lists, &ls);
-	say(&knows, in_era(1, 8), "a", 2, "draining", 1100);
-	say(&lists, in_era(1, 8), "a", 2, "draining", 1100);
-	copy_without_draining(&reader);
-	feed_to(&reader, &knows, true, 1510);
-	copy_without_draining(&lists);
+	begin_two_entries(&reader, &rs);
+	begin_two_entries(&knows, &ks);
+	begin_two_entries(&lists, &ls);
+	write_entry(&knows, in_era(1, 8), "a", 2, "draining", 1100);
+	write_entry(&lists, in_era(1, 8), "a", 2, "draining", 1100);
+	list_restored(&reader);
+	send_feed(&reader, &knows, true, 1510);
+	list_restored(&lists);
 	/* Whether it has taken over the new era by a feed or by a listing. */
-	say(&knows, in_era(2, 2), "a", 2, "draining", 1600);
+	write_entry(&knows, in_era(2, 2), "a", 2, "draining", 1600);
 	backend_list_advance(&knows, in_era(2, 3), 1600, 1600);
-	feed_to(&knows, &reader, true, 1610);
+	send_feed(&knows, &reader, true, 1610);
 	assert_string_equal(state_of(&rs, "a"), "draining");
-	begin_copied(&reader, &rs);
-	copy_without_draining(&reader);
-	say(&lists, in_era(2, 2), "a", 2, "draining", 1600);
+	begin_two_entries(&reader, &rs);
+	list_restored(&reader);
+	write_entry(&lists, in_era(2, 2), "a", 2, "draining", 1600);
 	backend_list_advance(&lists, in_era(2, 3), 1600, 1600);
-	feed_to(&lists, &reader, true, 1610);
+	send_feed(&lists, &reader, true, 1610);
 	assert_string_equal(state_of(&rs, "a"), "draining");
 }
 
 /* Leases of the copy run out together before their servers can write. */
-static void test_lapse_of_most_after_a_copy_is_held_back(void **state)
+static void test_expiry_of_most_after_restore_is_deferred(void **state)
 {
 	struct backend_list l;
 	struct seen s;
 
-	begin_copied(&l, &s);
-	say(&l, in_era(1, 8), "c", 1, "ready", 1100);
+	begin_two_entries(&l, &s);
+	write_entry(&l, in_era(1, 8), "c", 1, "ready", 1100);
 	backend_list_advance(&l, in_era(1, 9), 1100, 1100);
 	backend_list_replace_begin(&l, 2, 1500);
-	say(&l, in_era(2, 0), "a", 1, "ready", 1500);
-	say(&l, in_era(2, 1), "b", 1, "ready", 1500);
-	say(&l, in_era(2, 2), "c", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 0), "a", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 1), "b", 1, "ready", 1500);
+	write_entry(&l, in_era(2, 2), "c", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 3), 1500, 1500);
-	say(&l, in_era(2, 3), "a", 0, "gone", 1600);
-	say(&l, in_era(2, 4), "b", 0, "gone", 1600);
-	say(&l, in_era(2, 5), "c", 0, "gone", 1600);
+	write_entry(&l, in_era(2, 3), "a", 0, "gone", 1600);
+	write_entry(&l, in_era(2, 4), "b", 0, "gone", 1600);
+	write_entry(&l, in_era(2, 5), "c", 0, "gone", 1600);
 	assert_string_equal(state_of(&s, "a"), "gone");
 	assert_string_equal(state_of(&s, "b"), "ready");
 	assert_string_equal(state_of(&s, "c"), "ready");
-	say(&l, in_era(2, 6), "b", 2, "ready", 2000);
+	write_entry(&l, in_era(2, 6), "b", 2, "ready", 2000);
 	backend_list_apply_deferred(&l, 4000);
 	assert_string_equal(state_of(&s, "b"), "ready");
 	assert_string_equal(state_of(&s, "c"), "gone");
 }
 
 /* One that reads the new log feeds those that are still in the old one. */
-static void test_feed_into_the_new_era(void **state)
+static void test_feed_into_new_era(void **state)
 {
 	struct backend_list reader, fed;
 	struct seen rs, fs;
 
-	begin_copied(&reader, &rs);
-	begin_copied(&fed, &fs);
-	say(&reader, in_era(1, 8), "c", 1, "ready", 1100);
+	begin_two_entries(&reader, &rs);
+	begin_two_entries(&fed, &fs);
+	write_entry(&reader, in_era(1, 8), "c", 1, "ready", 1100);
 	backend_list_advance(&reader, in_era(1, 9), 1100, 1100);
 	/* The fed one misses that feed; the next covers it and the rise. */
 	backend_list_replace_begin(&reader, 2, 1500);
-	say(&reader, in_era(2, 5), "d", 1, "ready", 1500);
-	say(&reader, in_era(2, 0), "a", 1, "ready", 1500);
+	write_entry(&reader, in_era(2, 5), "d", 1, "ready", 1500);
+	write_entry(&reader, in_era(2, 0), "a", 1, "ready", 1500);
 	backend_list_replace_end(&reader, in_era(2, 6), 1500, 1500);
-	feed_to(&reader, &fed, true, 1510);
+	send_feed(&reader, &fed, true, 1510);
 	assert_int_equal(store_position_cmp(fed.pos, in_era(2, 6)), 0);
 	assert_string_equal(state_of(&fs, "c"), "ready");
 	assert_string_equal(state_of(&fs, "d"), "ready");
 	assert_string_equal(state_of(&fs, "b"), "ready");
 	/* c writes again, b doesn't; the old era has nothing to say. */
-	say(&reader, in_era(2, 6), "c", 2, "ready", 2000);
+	write_entry(&reader, in_era(2, 6), "c", 2, "ready", 2000);
 	backend_list_advance(&reader, in_era(2, 7), 2000, 2000);
-	feed_to(&reader, &fed, true, 2010);
-	begin_copied(&reader, &rs);
-	feed_to(&reader, &fed, true, 2020);
+	send_feed(&reader, &fed, true, 2010);
+	begin_two_entries(&reader, &rs);
+	send_feed(&reader, &fed, true, 2020);
 	assert_int_equal(store_position_cmp(fed.pos, in_era(2, 7)), 0);
 	backend_list_apply_deferred(&fed, 4000);
 	assert_string_equal(state_of(&fs, "c"), "ready");
@@ -296,18 +296,18 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_left_server_of_the_copy_stays_off),
-		cmocka_unit_test(test_doubted_server_that_lives_is_back),
+		cmocka_unit_test(test_removed_server_in_backup_stays_removed),
 		cmocka_unit_test(
-			test_joined_server_stays_until_it_writes_again),
-		cmocka_unit_test(test_draining_that_the_copy_lacks_holds),
-		cmocka_unit_test(test_lapse_of_most_after_a_copy_is_held_back),
-		cmocka_unit_test(test_draining_without_a_start_holds),
-		cmocka_unit_test(test_known_record_is_fed_in_the_new_era),
-		cmocka_unit_test(test_doubt_is_fed),
-		cmocka_unit_test(test_removal_in_the_copy_is_no_news),
-		cmocka_unit_test(test_news_of_a_copy_are_in_order),
-		cmocka_unit_test(test_feed_into_the_new_era),
+			test_unconfirmed_server_returns_unless_removed),
+		cmocka_unit_test(test_server_missing_from_backup_is_kept),
+		cmocka_unit_test(test_draining_missing_from_backup_is_kept),
+		cmocka_unit_test(test_expiry_of_most_after_restore_is_deferred),
+		cmocka_unit_test(test_draining_without_start_time_is_kept),
+		cmocka_unit_test(test_known_record_is_fed_in_new_era),
+		cmocka_unit_test(test_unconfirmed_entry_is_fed),
+		cmocka_unit_test(test_earlier_removal_in_backup_is_ignored),
+		cmocka_unit_test(test_feed_after_restore_is_ordered),
+		cmocka_unit_test(test_feed_into_new_era),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_backend_watch.c
+++ b/tests/test_backend_watch.c
@@ -21,10 +21,10 @@
 
 static void begin(struct backend_watch *w)
 {
-	static struct store_endpoint nobody;
+	static struct store_endpoint unreachable;
 
-	socket_addr("127.0.0.1:1", &nobody.addr);
-	backend_watch_start(w, ev_default_loop(0), &nobody, on_changed,
+	socket_addr("127.0.0.1:1", &unreachable.addr);
+	backend_watch_start(w, ev_default_loop(0), &unreachable, on_changed,
 			    on_read_done, NULL);
 }
 
@@ -46,7 +46,7 @@
  * instances; the pollers' own lines 300 came at 3.9 and 4.2 s, the version had
  * been confirmed at 2.7 s, and their polls ended at 4.9 and 5.4 s).
  */
-static void test_fed_is_no_sign(void **state)
+static void test_feed_is_no_store_answer(void **state)
 {
 	int64_t now_ms = clock_ms();
 	struct backend_feed feed = {
@@ -73,7 +73,7 @@
 }
 
 /* A call that fails is none. */
-static void test_failure_is_no_sign(void **state)
+static void test_failure_is_no_store_answer(void **state)
 {
 	struct store_result failed = {.err = -ETIMEDOUT};
 	int64_t now_ms = clock_ms();
@@ -89,8 +89,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_fed_is_no_sign),
-		cmocka_unit_test(test_failure_is_no_sign),
+		cmocka_unit_test(test_feed_is_no_store_answer),
+		cmocka_unit_test(test_failure_is_no_store_answer),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -29,10 +29,10 @@
 	struct crash_watch watch;
 	enum verdict_kind verdict; /* on the culprit */
 	unsigned refused;	   /* verdicts to refuse anything */
-	bool deaf;		   /* datagrams to it are lost */
+	bool unreachable;	   /* datagrams to it are lost */
 };
 
-struct fleet {
+struct system {
 	struct ev_loop *loop;
 	struct instance *all;
 	int n;
@@ -52,13 +52,13 @@
 {
 	struct instance *in = priv;
 
-	if (m->kind == GOSSIP_CRASH && !in->deaf)
+	if (m->kind == GOSSIP_CRASH && !in->unreachable)
 		crash_watch_add_peer(&in->watch, m->sender.name, m->crashes);
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	struct fleet *f = t->data;
+	struct system *f = t->data;
 	int64_t now_ms = clock_ms();
 
 	for (int i = 0; i < f->n; i++) {
@@ -71,7 +71,7 @@
 	}
 }
 
-static void open_instance(struct fleet *f, int i)
+static void open_instance(struct system *f, int i)
 {
 	struct instance *in = &f->all[i];
 	struct peer_info self = {.boot = (uint64_t)i + 1, .ready = true};
@@ -89,7 +89,7 @@
 }
 
 /* All know each other's addresses, as from their records in the store. */
-static void introduce_all(struct fleet *f)
+static void add_all_peers(struct system *f)
 {
 	for (int i = 0; i < f->n; i++) {
 		for (int k = 0; k < f->n; k++)
@@ -103,7 +103,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-static void run_ms(struct fleet *f, int ms)
+static void run_ms(struct system *f, int ms)
 {
 	ev_timer t;
 
@@ -114,16 +114,16 @@
 	ev_timer_stop(f->loop, &t);
 }
 
-static struct fleet *begin(int n)
+static struct system *begin(int n)
 {
-	struct fleet *f = g_new0(struct fleet, 1);
+	struct system *f = g_new0(struct system, 1);
 
 	f->loop = ev_loop_new(EVFLAG_NOENV);
 	f->all = g_new0(struct instance, n);
 	f->n = n;
 	for (int i = 0; i < n; i++)
 		open_instance(f, i);
-	introduce_all(f);
+	add_all_peers(f);
 	ev_timer_init(&f->tick, on_tick, 0, TICK_MS / 1000.0);
 	f->tick.data = f;
 	ev_timer_start(f->loop, &f->tick);
@@ -132,7 +132,7 @@
 	return f;
 }
 
-static void end(struct fleet *f)
+static void end(struct system *f)
 {
 	for (int i = 0; i < f->n; i++) {
 		close(f->all[i].channel.sock);
@@ -145,15 +145,15 @@
 	g_free(f);
 }
 
-static void saw(struct fleet *f, int i, enum crash_news_kind kind,
-		uint64_t digest, uint32_t server)
+static void report(struct system *f, int i, enum crash_news_kind kind,
+		   uint64_t digest, uint32_t server)
 {
 	struct crash_news news = {kind, digest, server};
 
 	crash_watch_add_local(&f->all[i].watch, &news);
 }
 
-static int count(const struct fleet *f, enum verdict_kind kind)
+static int count(const struct system *f, enum verdict_kind kind)
 {
 	int n = 0;
 
@@ -163,27 +163,28 @@
 }
 
 /* Three instances see one end each, with other requests beside it. */
-static void three_ends(struct fleet *f)
+static void three_ends(struct system *f)
 {
 	for (int i = 0; i < 3; i++) {
 		int at = f->n - 1 - i;
 
-		saw(f, at, CRASH_NEWS_END, CULPRIT, 100 + (uint32_t)i);
-		saw(f, i, CRASH_NEWS_END, 10 + (uint64_t)i, 100 + (uint32_t)i);
-		saw(f, i, CRASH_NEWS_END, 7, 100 + (uint32_t)(i % 2));
+		report(f, at, CRASH_NEWS_END, CULPRIT, 100 + (uint32_t)i);
+		report(f, i, CRASH_NEWS_END, 10 + (uint64_t)i,
+		       100 + (uint32_t)i);
+		report(f, i, CRASH_NEWS_END, 7, 100 + (uint32_t)(i % 2));
 		run_ms(f, 60);
 	}
 }
 
 /* Waits, far longer than a calm machine needs. */
-static void wait_for(struct fleet *f, enum verdict_kind kind, int n)
+static void wait_for(struct system *f, enum verdict_kind kind, int n)
 {
 	for (int i = 0; i < 100 && count(f, kind) != n; i++)
 		run_ms(f, 50);
 	assert_int_equal(count(f, kind), n);
 }
 
-static void expect_agreed(struct fleet *f)
+static void expect_all_refuse(struct system *f)
 {
 	wait_for(f, VERDICT_REFUSE, f->n);
 	for (int i = 0; i < f->n; i++)
@@ -193,10 +194,10 @@
 /* No one saw more than one end, and all refuse the right request. */
 static void test_small(void **state)
 {
-	struct fleet *f = begin(SMALL);
+	struct system *f = begin(SMALL);
 
 	three_ends(f);
-	expect_agreed(f);
+	expect_all_refuse(f);
 	/* The first instances keep it in the store, as soon as that answers. */
 	for (int i = 0; i < f->n; i++)
 		assert_int_equal(
@@ -208,33 +209,33 @@
 /* The same by way of the hubs, and an answer undoes it everywhere. */
 static void test_large(void **state)
 {
-	struct fleet *f = begin(LARGE);
+	struct system *f = begin(LARGE);
 
 	assert_true(hubs_serve(&f->all[0].channel.peers));
 	three_ends(f);
-	expect_agreed(f);
-	saw(f, LARGE - 1, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	expect_all_refuse(f);
+	report(f, LARGE - 1, CRASH_NEWS_ANSWERED, CULPRIT, 0);
 	wait_for(f, VERDICT_CLEAR, LARGE);
 	end(f);
 }
 
 /* One that heard nothing for a while hears the verdict later. */
-static void test_deaf(void **state)
+static void test_unreachable_peer(void **state)
 {
-	struct fleet *f = begin(SMALL);
+	struct system *f = begin(SMALL);
 
-	f->all[2].deaf = true;
+	f->all[2].unreachable = true;
 	three_ends(f);
 	wait_for(f, VERDICT_REFUSE, SMALL - 1);
-	f->all[2].deaf = false;
+	f->all[2].unreachable = false;
 	wait_for(f, VERDICT_REFUSE, SMALL);
 	end(f);
 }
 
 /* One that lost its memory is told when it tells of another end. */
-static void test_unaware(void **state)
+static void test_forgotten_verdict(void **state)
 {
-	struct fleet *f = begin(SMALL);
+	struct system *f = begin(SMALL);
 
 	three_ends(f);
 	wait_for(f, VERDICT_REFUSE, SMALL);
@@ -242,24 +243,24 @@
 	for (int i = 0; i < f->n; i++)
 		g_array_set_size(f->all[i].watch.broadcasts, 0);
 	assert_int_equal(count(f, VERDICT_REFUSE), SMALL - 1);
-	saw(f, 3, CRASH_NEWS_END, CULPRIT, 555);
+	report(f, 3, CRASH_NEWS_END, CULPRIT, 555);
 	wait_for(f, VERDICT_REFUSE, SMALL);
 	end(f);
 }
 
 /* An answer that only one saw keeps all from a verdict. */
-static void test_cleared(void **state)
+static void test_answer_prevents_verdict(void **state)
 {
-	struct fleet *f = begin(SMALL);
+	struct system *f = begin(SMALL);
 
-	saw(f, 0, CRASH_NEWS_END, CULPRIT, 100);
-	saw(f, 1, CRASH_NEWS_END, CULPRIT, 101);
+	report(f, 0, CRASH_NEWS_END, CULPRIT, 100);
+	report(f, 1, CRASH_NEWS_END, CULPRIT, 101);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
-	saw(f, 2, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	report(f, 2, CRASH_NEWS_ANSWERED, CULPRIT, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
 	/* The answer is told for 0.14 s. */
 	run_ms(f, 500);
-	saw(f, 0, CRASH_NEWS_END, CULPRIT, 102);
+	report(f, 0, CRASH_NEWS_END, CULPRIT, 102);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
 	end(f);
 }
@@ -267,11 +268,11 @@
 /* A write that waited for the store doesn't outlive what it says. */
 static void test_record_dropped(void **state)
 {
-	struct fleet *f = begin(SMALL);
+	struct system *f = begin(SMALL);
 
 	three_ends(f);
-	expect_agreed(f);
-	saw(f, SMALL - 1, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	expect_all_refuse(f);
+	report(f, SMALL - 1, CRASH_NEWS_ANSWERED, CULPRIT, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
 	for (int i = 0; i < SMALL; i++) {
 		const struct crash_news *last =
@@ -283,12 +284,12 @@
 }
 
 /* When all servers end at once there is more to tell than fits one datagram. */
-static void test_many(void **state)
+static void test_many_ends(void **state)
 {
-	struct fleet *f = begin(SMALL);
+	struct system *f = begin(SMALL);
 
 	for (uint64_t d = 1000; d < 1200; d++)
-		saw(f, 0, CRASH_NEWS_END, d, (uint32_t)d);
+		report(f, 0, CRASH_NEWS_END, d, (uint32_t)d);
 	for (int i = 0;
 	     i < 100 && !crash_ledger_find(&f->all[3].watch.ledger, 1199); i++)
 		run_ms(f, 50);
@@ -300,13 +301,13 @@
 /* Behind the hubs nobody judges, and nobody wakes up for it. */
 static void test_behind_hubs(void **state)
 {
-	struct fleet *f = begin(LARGE);
+	struct system *f = begin(LARGE);
 	struct crash_watch *w = &f->all[LARGE - 1].watch;
 
 	for (int i = 0; i < LARGE; i++)
-		f->all[i].deaf = true;
+		f->all[i].unreachable = true;
 	for (uint32_t s = 1; s <= 3; s++)
-		saw(f, LARGE - 1, CRASH_NEWS_END, CULPRIT, s);
+		report(f, LARGE - 1, CRASH_NEWS_END, CULPRIT, s);
 	run_ms(f, 500);
 	assert_int_equal(count(f, VERDICT_REFUSE), 0);
 	assert_int_equal(f->all[LARGE - 1].verdict, VERDICT_SUSPECT);
@@ -319,10 +320,10 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_small),
 		cmocka_unit_test(test_large),
-		cmocka_unit_test(test_deaf),
-		cmocka_unit_test(test_unaware),
-		cmocka_unit_test(test_cleared),
-		cmocka_unit_test(test_many),
+		cmocka_unit_test(test_unreachable_peer),
+		cmocka_unit_test(test_forgotten_verdict),
+		cmocka_unit_test(test_answer_prevents_verdict),
+		cmocka_unit_test(test_many_ends),
 		cmocka_unit_test(test_record_dropped),
 		cmocka_unit_test(test_behind_hubs),
 	};
--- a/tests/test_feeder.c
+++ b/tests/test_feeder.c
@@ -14,7 +14,7 @@
 }
 
 /* The hubs can't read: the first passes on what others told them. */
-static void test_relay(void **state)
+static void test_first_hub_relays(void **state)
 {
 	struct feeder f = {.fresh_ms = 1000, .sent_ms = 1010};
 
@@ -36,7 +36,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_after_read),
-		cmocka_unit_test(test_relay),
+		cmocka_unit_test(test_first_hub_relays),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_record_check.c
+++ b/tests/test_record_check.c
@@ -136,7 +136,7 @@
 }
 
 /* The store is back in another era; `first`: it is this instance's turn. */
-static void rise(struct fixture *f, uint64_t era, bool first)
+static void raise_era(struct fixture *f, uint64_t era, bool first)
 {
 	store_endpoint_learn(&f->store->endpoint, era, "test");
 	record_check_tick(&f->check, first, f->now_ms);
@@ -144,7 +144,7 @@
 }
 
 /* As if it had stood in the store before. */
-static void quarantine(struct fixture *f, uint64_t digest)
+static void add_stored_verdict(struct fixture *f, uint64_t digest)
 {
 	struct crash_news news = {CRASH_NEWS_QUARANTINE, digest, 1};
 	GArray *a = g_array_new(FALSE, FALSE, sizeof(news));
@@ -162,11 +162,11 @@
 	static const uint64_t stale[] = {5, 101, 66};
 	struct fixture *f = begin();
 
-	quarantine(f, 0xabc);
+	add_stored_verdict(f, 0xabc);
 	/* e2 has started anew since the copy, e3 isn't in it. */
 	scripted_answer(f->store, 200, "2", listing(all, stale, 3, NULL, 0));
 	scripted_answer(f->store, 200, "2", (struct buf){0});
-	rise(f, 2, true);
+	raise_era(f, 2, true);
 	run_until(f, 2);
 	assert_true(wrote(f, "e2"));
 	assert_true(wrote(f, "e3"));
@@ -179,25 +179,25 @@
 	end(f);
 }
 
-static void test_nothing_lost_costs_one_listing(void **state)
+static void test_nothing_lost(void **state)
 {
 	struct fixture *f = begin();
 
 	scripted_answer(f->store, 200, "2", listing(all, boots, 4, NULL, 0));
-	rise(f, 2, true);
+	raise_era(f, 2, true);
 	run_until(f, 1);
 	assert_int_equal(f->store->requests, 1);
 	assert_int_equal(f->check.checked_era, 2);
 	end(f);
 }
 
-static void test_few_write(void **state)
+static void test_only_first_checks(void **state)
 {
 	struct fixture *f = begin();
 	struct peer_info p = info("e1", 101);
 
 	/* Not the first. */
-	rise(f, 2, false);
+	raise_era(f, 2, false);
 	assert_int_equal(f->check.store.call, STORE_NO_CALL);
 	/* The first has ended, and another has done it. */
 	p.records_era = 2;
@@ -205,49 +205,49 @@
 	record_check_tick(&f->check, true, f->now_ms + SETTLED_MS);
 	assert_int_equal(f->check.store.call, STORE_NO_CALL);
 	/* In the next era nobody has. */
-	rise(f, 3, true);
+	raise_era(f, 3, true);
 	assert_int_equal(f->check.store.call, STORE_NEWEST);
 	end(f);
 }
 
-static void test_written_in_an_era_that_is_over(void **state)
+static void test_write_in_past_era(void **state)
 {
 	struct fixture *f = begin();
 
 	scripted_answer(f->store, 200, "2", listing(all, boots, 2, NULL, 0));
 	scripted_answer(f->store, 200, "3", (struct buf){0});
-	rise(f, 2, true);
+	raise_era(f, 2, true);
 	run_until(f, 2);
 	assert_int_equal(f->check.checked_era, 0);
 	scripted_answer(f->store, 200, "3", listing(all, boots, 4, NULL, 0));
-	rise(f, 3, true);
+	raise_era(f, 3, true);
 	run_until(f, 3);
 	assert_int_equal(f->check.checked_era, 3);
 	end(f);
 }
 
-static void test_released_verdict_of_the_copy_is_dropped(void **state)
+static void test_released_verdict_in_backup_is_dropped(void **state)
 {
 	static const uint64_t digests[] = {0xabc, 0xdef};
 	struct fixture *f = begin();
 
-	quarantine(f, 0xabc);
+	add_stored_verdict(f, 0xabc);
 	scripted_answer(f->store, 200, "2", listing(all, boots, 4, digests, 2));
 	scripted_answer(f->store, 200, "2", (struct buf){0});
-	rise(f, 2, true);
+	raise_era(f, 2, true);
 	run_until(f, 2);
 	assert_true(wrote(f, "quarantine-0000000000000def"));
 	assert_false(wrote(f, "quarantine-0000000000000abc"));
 	end(f);
 }
 
-static void test_failed_write_is_made_again(void **state)
+static void test_failed_write_is_retried(void **state)
 {
 	struct fixture *f = begin();
 
 	scripted_answer(f->store, 200, "2", listing(all, boots, 3, NULL, 0));
 	scripted_answer(f->store, 503, "2", (struct buf){0});
-	rise(f, 2, true);
+	raise_era(f, 2, true);
 	run_until(f, 2);
 	assert_int_equal(f->check.checked_era, 0);
 	scripted_answer(f->store, 200, "2", listing(all, boots, 3, NULL, 0));
@@ -262,11 +262,11 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_lost_records_are_written_again),
-		cmocka_unit_test(test_nothing_lost_costs_one_listing),
-		cmocka_unit_test(test_few_write),
-		cmocka_unit_test(test_written_in_an_era_that_is_over),
-		cmocka_unit_test(test_released_verdict_of_the_copy_is_dropped),
-		cmocka_unit_test(test_failed_write_is_made_again),
+		cmocka_unit_test(test_nothing_lost),
+		cmocka_unit_test(test_only_first_checks),
+		cmocka_unit_test(test_write_in_past_era),
+		cmocka_unit_test(test_released_verdict_in_backup_is_dropped),
+		cmocka_unit_test(test_failed_write_is_retried),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -14,7 +14,7 @@
 					 .rank = 40,
 					 .since_ms = 1000};
 
-static void test_members_first(void **state)
+static void test_members_read_first(void **state)
 {
 	struct start_state v = {.since_ms = 1000};
 
@@ -46,7 +46,7 @@
 }
 
 /* All were killed: nobody can help, and callers are at the door. */
-static void test_nobody_ready(void **state)
+static void test_no_peer_ready(void **state)
 {
 	struct start_state v = large;
 
@@ -73,7 +73,7 @@
 	assert_false(start_should_read_store(&v, 1100));
 }
 
-static void test_ended(void **state)
+static void test_startup_done(void **state)
 {
 	struct start_state v = large;
 
@@ -85,11 +85,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_members_first),
+		cmocka_unit_test(test_members_read_first),
 		cmocka_unit_test(test_large),
-		cmocka_unit_test(test_nobody_ready),
+		cmocka_unit_test(test_no_peer_ready),
 		cmocka_unit_test(test_refused),
-		cmocka_unit_test(test_ended),
+		cmocka_unit_test(test_startup_done),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
