--- a/control/backend_deferred.c
+++ b/control/backend_deferred.c
@@ -2,10 +2,10 @@
 
 #include "control/backend_list_private.h"
 
-/* An entry lapses after so many of its server's heartbeats have failed. */
+/* Consecutive failed heartbeats after which a server's lease expires. */
 enum { LEASE_HEARTBEATS = 3 };
 
-/* The removal of an entry, or the end of a doubt, is due then. */
+/* Schedules a deferred removal, or the end of an unconfirmed state. */
 static void schedule(struct backend_list *l, struct list_entry *e,
 		     int64_t due_ms)
 {
@@ -15,8 +15,8 @@
 }
 
 /*
- * Whether most servers of a service would be gone together with this one, of
- * those that were there when the store came back from a copy.
+ * Returns whether removing this server would leave a service without most of
+ * the servers that it had when the store was restored from a backup.
  */
 static bool most_removed(const struct backend_list *l,
 			 const struct list_entry *e)
@@ -40,9 +40,11 @@
 }
 
 /*
- * Until when a removal is held back; now_ms: not at all. After a silence leases
- * may have run out. A copy holds leases as they were, so most may run out at
- * once; that all of them have left isn't believed before they could write.
+ * Returns the time until which a removal is deferred, or now_ms if it isn't.
+ * After a period without contact, leases may have expired only because servers
+ * could not renew them. A restored store holds the leases as they were in the
+ * backup, so most may expire at once; the removal of most servers of a service
+ * is therefore deferred until they have had time to write again.
  */
 static int64_t removal_due_ms(const struct backend_list *l,
 			      const struct list_entry *e, int64_t now_ms)
@@ -56,7 +58,10 @@
 	return now_ms;
 }
 
-/* backend_list_defer_removal() tells whether a removal must wait, and plans it. */
+/*
+ * backend_list_defer_removal() defers a removal if necessary. Returns whether
+ * it was deferred.
+ */
 bool backend_list_defer_removal(struct backend_list *l, struct list_entry *e,
 				int64_t now_ms)
 {
@@ -69,7 +74,10 @@
 	return true;
 }
 
-/* backend_list_defer_missing() gives a server the time to write its entry again. */
+/*
+ * backend_list_defer_missing() defers the removal of a server that the backup
+ * lacks, so that it has time to write its entry again.
+ */
 void backend_list_defer_missing(struct backend_list *l, struct list_entry *e,
 				int64_t now_ms)
 {
@@ -77,7 +85,10 @@
 	schedule(l, e, now_ms + BACKEND_GRACE_MS);
 }
 
-/* backend_list_add_unconfirmed() gives a removal the time to be written again. */
+/*
+ * backend_list_add_unconfirmed() keeps an entry off the list for as long as its
+ * removal may still be written again.
+ */
 void backend_list_add_unconfirmed(struct backend_list *l, struct list_entry *d,
 				  int64_t now_ms)
 {
@@ -87,7 +98,7 @@
 	g_hash_table_replace(l->unconfirmed, d->entry.id, d);
 }
 
-/* backend_list_has_deferred() tells whether a removal is held back. */
+/* backend_list_has_deferred() returns whether any removal is deferred. */
 bool backend_list_has_deferred(const struct backend_list *l)
 {
 	GHashTableIter it;
@@ -101,7 +112,7 @@
 	return false;
 }
 
-/* Those of a table that are due by now. */
+/* Returns the entries of a table that are due at now_ms. */
 static GPtrArray *list_due(const struct backend_list *l, GHashTable *table,
 			   int64_t now_ms)
 {
@@ -136,7 +147,9 @@
 	g_ptr_array_unref(due);
 }
 
-/* Nobody has removed them: their servers are back. */
+/*
+ * Adds entries whose removal was not written again: their servers are running.
+ */
 static void confirm_due(struct backend_list *l, int64_t now_ms)
 {
 	GPtrArray *due = list_due(l, l->unconfirmed, now_ms);
@@ -150,7 +163,7 @@
 	g_ptr_array_unref(due);
 }
 
-/* The next that is due, after one that was. */
+/* Returns the earliest time at which an entry is due, or 0 if there is none. */
 static int64_t next_due_ms(const struct backend_list *l)
 {
 	GPtrArray *all = list_due(l, l->entries, INT64_MAX);
@@ -168,7 +181,7 @@
 	return due_ms;
 }
 
-/* backend_list_apply_deferred() does what was held back and is due. */
+/* backend_list_apply_deferred() applies deferred changes that are due. */
 void backend_list_apply_deferred(struct backend_list *l, int64_t now_ms)
 {
 	if (!l->due_ms || now_ms < l->due_ms)
--- a/control/backend_feed.c
+++ b/control/backend_feed.c
@@ -2,25 +2,25 @@
 
 enum {
 	/*
-	 * The reader's period. A leaving server must get no new work 2 s
-	 * after the store has it; the period, one take-over and the way to
-	 * the last instance stay within 1.4 s.
+	 * Interval between the reader's reads. A leaving server must get no new
+	 * work 2 s after the store lists it as leaving; this interval, one
+	 * takeover and the delivery to the last instance add up to 1.4 s.
 	 */
 	READ_MS = 450,
-	TAKEOVER_MS = 700, /* without news the next in line reads */
-	RANK_STEP_MS = 50, /* so that they don't all read at once */
+	TAKEOVER_MS = 700, /* then the next in rank reads */
+	RANK_STEP_MS = 50, /* spreads the takeover reads of different ranks */
 	RANK_MAX = 12,
-	RETRY_MS = 200, /* after a failure, doubled up to the longest */
+	RETRY_MS = 200, /* after the first failure; doubles up to the maximum */
 	RETRY_MAX_MS = 1000,
 	/*
-	 * In a large system those behind the hubs try this seldom: the hubs
-	 * find out that the store is back and feed them. One that hears of no
-	 * feed must know within 3 s what the store says.
+	 * Retry interval of the instances behind the hubs in a large system.
+	 * The hubs detect that the store is back and send their feeds; an
+	 * instance that receives none must read the store within 3 s.
 	 */
 	RETRY_BEHIND_HUBS_MS = 2800,
 };
 
-/* What the feed doesn't name is in the new era as it was. */
+/* Moves entries that the feed doesn't contain into the new era unchanged. */
 static void begin_era(struct backend_list *l, const struct backend_feed *f)
 {
 	uint64_t era = f->to.era;
@@ -41,20 +41,24 @@
 	}
 }
 
-/* Tells whether a feed holds all that is new after a place. */
+/* Returns whether a feed contains every change after the position `known`. */
 static bool covers(const struct backend_feed *f, struct store_position known)
 {
 	if (known.era == f->from.era)
 		return store_position_cmp(f->from, known) <= 0;
-	/* What of a listing was news to the feeder may be less than to others. */
+	/*
+	 * Of a listing, a feed contains only what was new to its sender, which
+	 * may be less than what is new here: it covers the new era from
+	 * `listed` on.
+	 */
 	return known.era == f->to.era &&
 	       store_position_cmp(f->listed, known) <= 0;
 }
 
 /*
- * backend_list_apply_feed() takes in what a peer read; nothing of an earlier era.
- * Returns false when the feed begins after the records known here: this instance
- * must read by itself.
+ * backend_list_apply_feed() applies the changes that a peer has read; feeds of
+ * an earlier era are ignored. Returns false when the feed begins after the last
+ * record applied here, so that this instance must read the store itself.
  */
 bool backend_list_apply_feed(struct backend_list *l,
 			     const struct backend_feed *f, int64_t now_ms)
@@ -91,7 +95,7 @@
 	return true;
 }
 
-/* backend_list_build_feed() describes the recent changes for the peers. */
+/* backend_list_build_feed() fills in a feed with the recent changes. */
 void backend_list_build_feed(struct backend_list *l, struct backend_feed *f,
 			     int64_t now_ms)
 {
@@ -105,7 +109,10 @@
 	f->changes = l->recent;
 }
 
-/* backend_list_export() appends a change for each entry, and what is held back. */
+/*
+ * backend_list_export() appends a change for each entry, including entries
+ * whose removal is deferred and unconfirmed ones.
+ */
 void backend_list_export(const struct backend_list *l, GArray *changes)
 {
 	GHashTableIter it;
@@ -132,8 +139,8 @@
 }
 
 /*
- * backend_list_import() takes in a peer's whole list, complete up to `end`,
- * in the place of a listing of the store.
+ * backend_list_import() replaces the list by a peer's, which is complete up to
+ * `end`, as if it were a listing of the store.
  */
 void backend_list_import(struct backend_list *l, const GArray *changes,
 			 struct store_position end, int64_t as_of_ms,
@@ -148,9 +155,10 @@
 }
 
 /*
- * backend_list_next_read_ms() says when this instance is to read the list itself: the
- * first in rank always, another when nobody's news have come for too long,
- * later the further back it stands, and after failures not too often.
+ * backend_list_next_read_ms() returns when this instance reads the list from
+ * the store. The first in rank reads at a fixed interval. Others read when no
+ * peer has sent changes for too long, later the lower their rank, and back off
+ * after failures.
  */
 int64_t backend_list_next_read_ms(unsigned rank, bool many, int64_t fresh_ms,
 				  int64_t tried_ms, unsigned failures)
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -5,11 +5,17 @@
 
 enum {
 	HEARTBEAT_DEFAULT_MS = 1500,
-	/* Changes are repeated to peers for this long, against loss. */
+	/*
+	 * Changes are repeated to peers for this long, since datagrams get
+	 * lost.
+	 */
 	RECENT_MS = 2500,
 };
 
-/* backend_list_init() makes an empty list; `changed` hears of changes. */
+/*
+ * backend_list_init() initializes an empty list; `changed` is called for each
+ * change of it.
+ */
 void backend_list_init(struct backend_list *l,
 		       void (*changed)(void *priv,
 				       const struct backend_change *c),
@@ -28,7 +34,7 @@
 	l->priv = priv;
 }
 
-/* Keeps a change for the peers. */
+/* Records a change to be sent to the peers. */
 static void record_recent(struct backend_list *l,
 			  const struct backend_change *c, int64_t now_ms)
 {
@@ -38,7 +44,10 @@
 	g_array_append_val(l->recent_ms, now_ms);
 }
 
-/* backend_list_publish() keeps a change for the peers and tells the owner. */
+/*
+ * backend_list_publish() records a change for the peers and reports it to the
+ * owner.
+ */
 void backend_list_publish(struct backend_list *l,
 			  const struct backend_change *c, int64_t now_ms)
 {
@@ -46,7 +55,7 @@
 	l->changed(l->priv, c);
 }
 
-/* Tells whether two entries differ in more than their remaining warm-up. */
+/* Returns whether two entries differ in more than their remaining warm-up. */
 static bool differs(const struct backend_entry *a,
 		    const struct backend_entry *b)
 {
@@ -57,18 +66,20 @@
 }
 
 /*
- * backend_list_grace_if_stale() comes before news are taken in: after a long
- * silence they may hold removals that only the silence caused.
+ * backend_list_grace_if_stale() begins a grace period for removals if the list
+ * is stale. Call it before changes are applied: after a long time without
+ * contact, they may contain removals caused only by the outage.
  */
 void backend_list_grace_if_stale(struct backend_list *l, int64_t now_ms)
 {
-	/* A lease is three heartbeats: below one none can have run out. */
+	/* A lease lasts three heartbeats, so none can have expired before. */
 	if (l->loaded && now_ms - l->fresh_ms > l->heartbeat_ms)
 		l->grace_until_ms = now_ms + BACKEND_GRACE_MS;
 }
 
 /*
- * backend_list_read_begin() comes before the records of an own read.
+ * backend_list_read_begin() is called before the records of this instance's own
+ * read are applied.
  */
 void backend_list_read_begin(struct backend_list *l, int64_t now_ms)
 {
@@ -80,7 +91,7 @@
 {
 	struct list_entry *e = g_hash_table_lookup(l->entries, c->entry.id);
 
-	/* Peers may hold it, or doubt it too. */
+	/* Peers may list it, or hold it as unconfirmed. */
 	g_hash_table_remove(l->unconfirmed, c->entry.id);
 	if (!e)
 		record_recent(l, c, now_ms);
@@ -99,9 +110,10 @@
 }
 
 /*
- * backend_list_remove_deferred() takes off a server that the copy lacks if a removal
- * in its log is newer than the copy. The copy ended before the entry's lost record,
- * so a removal before that may be an earlier one, after which the server was back.
+ * backend_list_remove_deferred() removes a server that is missing from a
+ * restored backup, if the restored log contains a removal of it that is newer
+ * than the backup. The backup ends before the entry's lost record, so an older
+ * removal may be followed by a record that brought the server back.
  */
 void backend_list_remove_deferred(struct backend_list *l,
 				  const struct backend_change *c,
@@ -118,7 +130,10 @@
 	remove_entry(l, &removal, now_ms);
 }
 
-/* The store's copy lacks a server that has written nothing since. */
+/*
+ * Handles a server that the restored store lacks and that has written nothing
+ * since.
+ */
 static void defer_missing_entry(struct backend_list *l,
 				const struct backend_change *c, int64_t now_ms)
 {
@@ -130,7 +145,10 @@
 	record_recent(l, c, now_ms);
 }
 
-/* The copy has one that was off the list: a removal may be written again. */
+/*
+ * Handles a server that was removed here but that the backup lists: its removal
+ * may be written again, so it stays unconfirmed for now.
+ */
 static void add_unconfirmed_entry(struct backend_list *l,
 				  const struct backend_change *c,
 				  int64_t now_ms)
@@ -151,8 +169,8 @@
 }
 
 /*
- * Tells whether a record says less of its server than is known. Of a later era
- * than what is known it may come from the copy.
+ * Returns whether a record is older than what is known of its server. A record
+ * of a later era may come from the backup.
  */
 static bool is_outdated(const struct list_entry *e,
 			const struct backend_change *c)
@@ -162,7 +180,7 @@
 	return backend_entry_is_older(&c->entry, &e->entry);
 }
 
-/* The new era has an entry as well, though it says nothing new. */
+/* Notes that the new era also has an entry, though without newer content. */
 static void confirm_entry(struct backend_list *l, struct list_entry *e,
 			  const struct backend_change *received, int64_t now_ms)
 {
@@ -176,7 +194,7 @@
 		backend_list_publish(l, &c, now_ms);
 }
 
-/* A record of a server that is on the list. */
+/* Applies a record of a server that is on the list. */
 static void update_entry(struct backend_list *l, struct list_entry *e,
 			 const struct backend_change *c, int64_t now_ms)
 {
@@ -199,7 +217,7 @@
 		backend_list_publish(l, c, now_ms);
 }
 
-/* backend_list_add() puts a server on the list that isn't on it. */
+/* backend_list_add() adds a server that isn't on the list. */
 void backend_list_add(struct backend_list *l, const struct backend_change *c,
 		      int64_t now_ms)
 {
@@ -214,8 +232,8 @@
 }
 
 /*
- * backend_list_apply_record() takes in one record. Records older than what is
- * known of their entry are passed over.
+ * backend_list_apply_record() applies one record. Records older than the last
+ * one applied for their server are ignored.
  */
 void backend_list_apply_record(struct backend_list *l,
 			       const struct backend_change *c, int64_t now_ms)
@@ -252,7 +270,7 @@
 	}
 }
 
-/* Forgets changes that every peer had time to hear of. */
+/* Drops changes that have been sent to the peers for long enough. */
 static void prune_recent(struct backend_list *l, int64_t now_ms)
 {
 	guint n = 0;
@@ -271,9 +289,8 @@
 }
 
 /*
- * backend_list_advance() says that all records before `end` are taken in
- * and that these were all there were at as_of_ms. After a time without news
- * removals are held back for a while.
+ * backend_list_advance() notes that all records before `end` are applied, and
+ * that the store had no others at as_of_ms.
  */
 void backend_list_advance(struct backend_list *l, struct store_position end,
 			  int64_t as_of_ms, int64_t now_ms)
@@ -285,7 +302,10 @@
 	prune_recent(l, now_ms);
 }
 
-/* backend_list_begin_restored(): what is taken in from here on comes from a copy. */
+/*
+ * backend_list_begin_restored() marks what is applied from here on as possibly
+ * coming from a backup.
+ */
 void backend_list_begin_restored(struct backend_list *l, int64_t now_ms)
 {
 	l->restored = true;
@@ -293,8 +313,8 @@
 }
 
 /*
- * backend_list_replace_begin() starts taking in a whole listing of an era,
- * whose entries come through backend_list_apply_record().
+ * backend_list_replace_begin() begins to apply a full listing of an era; its
+ * entries are passed to backend_list_apply_record().
  */
 void backend_list_replace_begin(struct backend_list *l, uint64_t era,
 				int64_t now_ms)
@@ -314,14 +334,17 @@
 		((struct list_entry *)v)->seen = false;
 }
 
-/* The place of what a listing lacks: peers take it in with its last record. */
+/*
+ * Returns the position of changes for entries that a listing lacks: just before
+ * its end, so that peers apply them together with its last record.
+ */
 static struct store_position preceding(struct store_position end)
 {
 	end.offset -= end.offset > 0;
 	return end;
 }
 
-/* Takes off an entry that a listing lacks, or holds it back. */
+/* Removes an entry that a listing lacks, or defers its removal. */
 static void drop_unseen(struct backend_list *l, const struct list_entry *e,
 			struct store_position end, int64_t now_ms)
 {
@@ -333,7 +356,10 @@
 	backend_list_apply_record(l, &c, now_ms);
 }
 
-/* What was doubted has been removed again before the listing. */
+/*
+ * Drops unconfirmed entries that a listing lacks: they were removed again
+ * before it.
+ */
 static void drop_unseen_unconfirmed(struct backend_list *l,
 				    struct store_position end, int64_t now_ms)
 {
@@ -354,7 +380,10 @@
 	}
 }
 
-/* A listing isn't in the order of the log, as changes for peers must be. */
+/*
+ * Orders changes by position: a listing isn't in log order, but changes for
+ * peers must be.
+ */
 static gint by_position(gconstpointer a, gconstpointer b)
 {
 	const struct backend_change *x = a, *y = b;
@@ -363,8 +392,8 @@
 }
 
 /*
- * backend_list_replace_end() ends it: entries that the listing lacked are
- * removed. `end` is the place from which to read on.
+ * backend_list_replace_end() ends a full listing: entries that it lacked are
+ * removed. `end` is the position to continue reading from.
  */
 void backend_list_replace_end(struct backend_list *l, struct store_position end,
 			      int64_t as_of_ms, int64_t now_ms)
@@ -378,8 +407,8 @@
 		const struct list_entry *e = v;
 
 		/*
-		 * What is newer than the listing can't be in it; what is missing
-		 * already has its time.
+		 * Entries newer than the listing can't be in it, and a deferred
+		 * removal keeps its due time.
 		 */
 		if (!e->seen && store_position_cmp(e->pos, end) < 0 &&
 		    (l->restored || !e->deferred))
@@ -397,7 +426,7 @@
 		l->restored = false;
 		return;
 	}
-	/* Peers that are behind can't be fed across a listing. */
+	/* Peers that are behind can't be updated across a full listing. */
 	g_array_set_size(l->recent, 0);
 	g_array_set_size(l->recent_ms, 0);
 	l->recent_from = l->pos;
--- a/control/backend_list.h
+++ b/control/backend_list.h
@@ -1,9 +1,11 @@
 /*
- * The platform's list of backend servers, kept up to a known place of its log.
- * Records come from this instance's own reads or from a peer that read them; their
- * places make both fit together. The store may come back from a copy, in a new era:
- * what the copy says of a server counts only as far as it is newer than what is known
- * here, and what it lacks has some time to be written again. Decisions on values only.
+ * The platform's list of backend servers, complete up to a known position of
+ * the store's log. Records come from this instance's own reads or from a peer
+ * that read them, and are put in order by their positions. The store may be
+ * restored from a backup, which begins a new era. An entry of the backup then
+ * counts only if it is newer than what is known here, and servers that the
+ * backup lacks get some time to write their entries again. Pure logic without
+ * I/O.
  */
 #ifndef MP_CONTROL_BACKEND_LIST_H
 #define MP_CONTROL_BACKEND_LIST_H
@@ -12,23 +14,22 @@
 #include "member/gossip.h"
 
 struct backend_list {
-	int heartbeat_ms;    /* servers write their entries so often */
-	GHashTable *entries; /* id -> struct listed * */
-	GHashTable
-		*unconfirmed; /* id -> struct listed *, see ENTRY_UNCONFIRMED */
+	int heartbeat_ms;    /* interval at which servers write their entries */
+	GHashTable *entries; /* by id, struct list_entry * */
+	GHashTable *unconfirmed; /* by id, see ENTRY_UNCONFIRMED */
 	struct ended_servers ended;
-	struct store_position pos; /* records before it are taken in */
-	bool loaded;		   /* a whole listing was read once */
-	int64_t fresh_ms;	   /* the list is complete as of then */
-	int64_t grace_until_ms;	   /* removals are held back until then */
-	int64_t restored_ms; /* the store's copy was first seen then; 0: never */
-	int64_t due_ms;	     /* the first that is held back is due; 0: none */
-	bool restored; /* what is taken in may come from a copy of the store */
-	struct store_position listing_end; /* the end of its last listing */
-	GArray *recent; /* struct backend_change, for the peers */
+	struct store_position pos; /* records before it are applied */
+	bool loaded;		   /* a full listing was read at least once */
+	int64_t fresh_ms;	   /* time as of which the list is complete */
+	int64_t grace_until_ms;	   /* removals are deferred until then */
+	int64_t restored_ms; /* a restored store was first seen; 0: never */
+	int64_t due_ms; /* earliest due time of a deferred change; 0: none */
+	bool restored;	/* changes being applied may come from a backup */
 	struct store_position
-		recent_from; /* where what `recent` covers begins */
-	GArray *recent_ms;   /* when each of them was taken in */
+		listing_end; /* end position of the last full listing */
+	GArray *recent;	     /* struct backend_change, for the peers */
+	struct store_position recent_from; /* where `recent` begins */
+	GArray *recent_ms;		   /* when each of them was applied */
 	void (*changed)(void *priv, const struct backend_change *c);
 	void *priv;
 };
--- a/control/backend_list_private.h
+++ b/control/backend_list_private.h
@@ -1,4 +1,4 @@
-/* What the parts of control/backend_list share. */
+/* Declarations shared by the sources of control/backend_list. */
 #ifndef MP_CONTROL_BACKEND_LIST_PRIVATE_H
 #define MP_CONTROL_BACKEND_LIST_PRIVATE_H
 
@@ -6,8 +6,9 @@
 
 enum {
 	/*
-	 * Entries that lapsed while the store was away come back within two
-	 * seconds of its return; one still missing then is gone.
+	 * Entries whose leases expired during an outage of the store are
+	 * written again within two seconds of its return; servers still missing
+	 * then are gone.
 	 */
 	BACKEND_GRACE_MS = 2200,
 };
@@ -15,14 +16,15 @@
 struct list_entry {
 	struct backend_entry entry;
 	struct store_position pos; /* of its newest record */
-	bool deferred;		   /* its removal is held back */
-	int64_t due_ms;		   /* until then; or the doubt ends then */
+	bool deferred;		   /* its removal is deferred */
+	int64_t due_ms; /* end of the deferral, or of the unconfirmed state */
 	/*
-	 * What is known of it is from an earlier era: the present log may say
-	 * less, and to peers that missed it its next record is news.
+	 * The entry was read in an earlier era. The present log may hold older
+	 * content, and the next record may be new to peers that missed this
+	 * one.
 	 */
 	bool from_old_era;
-	bool seen; /* in the listing that is being read */
+	bool seen; /* contained in the listing being read */
 };
 
 void backend_list_publish(struct backend_list *l,
--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -6,10 +6,13 @@
 #include "misc/clock.h"
 #include "platform/records.h"
 
-/* Records before a listing that may hold what was removed just before it. */
+/* Records read before the end of a listing, to find removals just before it. */
 enum { TAIL_RECORDS = 64 };
 
-/* The record takes the server of its key off; false when that is unfit. */
+/*
+ * Decodes a record as the removal of its key. Returns false if the key is
+ * invalid.
+ */
 static bool decode_key(const struct store_record *rec, struct backend_change *c)
 {
 	memset(c, 0, sizeof(*c));
@@ -22,8 +25,8 @@
 }
 
 /*
- * Decodes a record of the list. An entry that can't be read names no server:
- * it counts as taken off. False when not even its key can be read.
+ * Decodes a record of the list. An entry that can't be decoded is treated as a
+ * removal. Returns false if the key is invalid too.
  */
 static bool decode(const struct store_record *rec, struct backend_change *c)
 {
@@ -34,7 +37,7 @@
 	if (record_backend(rec->key, rec->value, &c->entry) == 0)
 		return true;
 	mp_event(EV_MEMBER_BAD_RECORD, G_LOG_LEVEL_WARNING,
-		 "record %" G_GUINT64_FORMAT " of '%.*s' can't be read",
+		 "record %" G_GUINT64_FORMAT " of '%.*s' can't be decoded",
 		 rec->pos.offset, (int)rec->key.len, rec->key.ptr);
 	return decode_key(rec, c);
 }
@@ -53,7 +56,10 @@
 static void on_failure(struct backend_watch *w, int err)
 {
 	w->listing = false;
-	/* The store answers, but not from there: it is listed anew at once. */
+	/*
+	 * The store answers but no longer has this position: list again at
+	 * once.
+	 */
 	if (err == -ERANGE) {
 		mp_event(EV_STORE_LIST_ANEW, G_LOG_LEVEL_MESSAGE,
 			 "what=backends offset=%" G_GUINT64_FORMAT
@@ -73,8 +79,9 @@
 }
 
 /*
- * A listing lacks a server that the copy doesn't know, and one that was removed
- * since the store is back; the log tells them apart.
+ * Reads the end of the log after a restore. A server that the listing lacks is
+ * either missing from the backup or was removed after the restore; only the log
+ * shows which.
  */
 static bool read_tail(struct backend_watch *w)
 {
@@ -100,7 +107,10 @@
 	}
 }
 
-/* One page of a whole listing; the first one's end is where to read on. */
+/*
+ * Applies one page of a full listing. Reading continues at the end position of
+ * the first page.
+ */
 static void on_page(struct backend_watch *w, const struct store_result *r,
 		    int64_t now_ms)
 {
@@ -139,7 +149,9 @@
 	struct backend_watch *w = priv;
 	int64_t now_ms = clock_ms();
 
-	/* Without it what is missing has its time, as ever. */
+	/*
+	 * If this read fails, deferred removals are applied when due, as usual.
+	 */
 	if (w->reading_tail) {
 		w->reading_tail = false;
 		if (!r->err)
@@ -164,8 +176,8 @@
 }
 
 /*
- * backend_watch_is_current() tells whether the list is known as of the store's
- * present era.
+ * backend_watch_is_current() returns whether the list was confirmed in the
+ * store's present era.
  */
 bool backend_watch_is_current(const struct backend_watch *w)
 {
@@ -184,13 +196,14 @@
 }
 
 /*
- * backend_watch_tick() reads when it is due; without `may_list` a list that
- * isn't known is left to a peer. Call it every 0.1 s or so.
+ * backend_watch_tick() reads from the store when a read is due. Without
+ * `may_list` an instance that has no list yet waits for a peer's. Call it about
+ * every 0.1 s.
  */
 void backend_watch_tick(struct backend_watch *w, bool may_list, unsigned rank,
 			bool many, int64_t now_ms)
 {
-	/* After a rise of the era those behind the first wait to be fed. */
+	/* After a change of era, other ranks than the first wait for a feed. */
 	int64_t due = backend_list_next_read_ms(
 		rank, many, MAX(w->list.fresh_ms, w->era_ms), w->read_sent_ms,
 		w->failures);
@@ -202,21 +215,24 @@
 		return;
 	if (anew && w->failures == 0)
 		due = 0;
-	/* Somebody has read the store since it failed here. */
+	/* A peer has read the store since the last failure here. */
 	if (w->gap && w->gap_ms > w->read_sent_ms)
 		due = 0;
 	if (now_ms >= due)
 		read_now(w, now_ms);
 }
 
-/* backend_watch_apply_feed() takes in what a peer has read. */
+/* backend_watch_apply_feed() applies changes that a peer has read. */
 void backend_watch_apply_feed(struct backend_watch *w,
 			      const struct backend_feed *f, int64_t now_ms)
 {
-	/* One that still lives in an earlier era has nothing to tell. */
+	/* A peer that is still in an earlier era has nothing new. */
 	if (f->to.era < w->store.store->era)
 		return;
-	/* An instance that is still starting reads or is introduced anyway. */
+	/*
+	 * An instance that is starting reads the store or fetches a peer's
+	 * list.
+	 */
 	if (backend_list_apply_feed(&w->list, f, now_ms) || !w->list.loaded)
 		return;
 	w->gap = true;
@@ -224,8 +240,8 @@
 }
 
 /*
- * backend_watch_new_era() drops a call of the earlier one. Not from within a
- * call's outcome.
+ * backend_watch_new_era() cancels a call of the previous era. Must not be
+ * called from a store callback.
  */
 void backend_watch_new_era(struct backend_watch *w, int64_t now_ms)
 {
@@ -238,7 +254,10 @@
 	w->reading_tail = false;
 }
 
-/* backend_watch_start() begins with a whole listing. */
+/*
+ * backend_watch_start() initializes the watch; its first read is a full
+ * listing.
+ */
 void backend_watch_start(struct backend_watch *w, struct ev_loop *loop,
 			 struct store_endpoint *store,
 			 void (*changed)(void *priv,
--- a/control/backend_watch.h
+++ b/control/backend_watch.h
@@ -1,6 +1,6 @@
 /*
- * Keeps the list of backend servers: reads it from the platform's store when
- * it is this instance's turn, and takes over what peers have read.
+ * Keeps the list of backend servers: reads it from the platform's store when it
+ * is this instance's turn, and applies the feeds of peers.
  */
 #ifndef MP_CONTROL_BACKEND_WATCH_H
 #define MP_CONTROL_BACKEND_WATCH_H
@@ -11,19 +11,19 @@
 struct backend_watch {
 	struct backend_list list;
 	struct store_channel store;
-	int64_t read_sent_ms; /* the last read was sent then */
-	int64_t answered_ms;  /* the last one that the store answered was */
-	unsigned failures;    /* in a row */
-	bool relist;	   /* the store has nothing at the bookmark any more */
-	bool gap;	   /* a feed began after what is known */
-	int64_t gap_ms;	   /* when */
-	bool full_listing; /* the call under way asks for a whole listing */
+	int64_t read_sent_ms; /* when the last read was sent */
+	int64_t answered_ms;  /* when the last read that succeeded was sent */
+	unsigned failures;    /* consecutive */
+	bool relist;	/* the store no longer has the position to read from */
+	bool gap;	/* a feed began after the last applied record */
+	int64_t gap_ms; /* when the gap was detected */
+	bool full_listing; /* the pending call asks for a full listing */
 	bool listing;
-	bool listing_restored; /* it is of a copy of the store */
-	bool reading_tail;     /* the call under way looks for removals */
+	bool listing_restored; /* the listing is that of a restored store */
+	bool reading_tail;     /* the pending call looks for removals */
 	struct store_position listing_end;
-	int64_t era_ms; /* the store's present era was heard of then */
-	/* A read has succeeded; `recovered`: the first after failures. */
+	int64_t era_ms; /* when the store's present era was learned */
+	/* A read has succeeded; `recovered`: it is the first after failures. */
 	void (*read_done)(void *priv, bool recovered);
 	void *priv;
 };
--- a/control/config_source.c
+++ b/control/config_source.c
@@ -13,7 +13,10 @@
 	}
 }
 
-/* A copy of the store may hold an older version; calm records don't. */
+/*
+ * Logs a version older than the current one. A restored store may hold one;
+ * without a restore the record is invalid.
+ */
 static void log_older(const struct config_current *current, uint64_t version,
 		      const struct store_record *rec)
 {
@@ -32,7 +35,9 @@
 			 rec->pos.offset, version, current->version);
 }
 
-/* Whether a record has other content under the number that is in force. */
+/*
+ * Returns whether a record has other content under the current version number.
+ */
 static bool replaces(const struct config_current *current,
 		     const struct store_record *rec)
 {
@@ -41,9 +46,10 @@
 }
 
 /*
- * config_source_decode_newer() decodes a record; NULL when it is unfit or says nothing
- * newer. Of two records with one number the one that stands later counts: it was
- * confirmed last, and it is the one that instances will find that start later.
+ * config_source_decode_newer() decodes a record. Returns NULL if it is invalid
+ * or not newer. Of two records with the same version number the later one
+ * counts: it was confirmed last, and it is the one that instances read that
+ * start later.
  */
 struct config *config_source_decode_newer(const struct config_source *s,
 					  const struct store_record *rec,
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -7,45 +7,46 @@
 
 enum {
 	/*
-	 * A long poll costs one call and is answered when a version comes. One
-	 * that the store lost is never answered, so each is short.
+	 * A long poll costs one call and is answered when a version is written.
+	 * A poll that the store has lost is never answered, so each is short.
 	 */
 	POLL_WAIT_MAX_MS = 2500,
 	/*
-	 * A version that is written as a poll arrives may not wake it: it is
-	 * told when the poll ends, too late for the 2 s that it has. Two
-	 * instances poll, and waits that differ keep them from asking at the
-	 * same moment, and so from both missing one.
+	 * A version written at the moment a poll arrives may not wake it; it is
+	 * returned when the poll ends, too late for the limit of 2 s. Two
+	 * instances poll, and random waits keep them from polling in step and
+	 * both missing a version.
 	 */
 	POLL_WAIT_MIN_MS = 1750,
-	ANSWER_MARGIN_MS = 500, /* beyond it no answer will come */
+	ANSWER_MARGIN_MS = 500, /* after the wait; answers come no later */
 	/*
-	 * The first instances poll and the others hear from them, some four
-	 * times a second; one that hears nothing for this long polls too.
+	 * The first instances poll, and the others hear from them about four
+	 * times a second. An instance that hears nothing for this long polls
+	 * too.
 	 */
 	SILENCE_MS = 1000,
 	/*
-	 * In a large system those behind the hubs leave it to these first, so
-	 * that not all ask at once; a version must be in force 2 s after its
+	 * In a large system the instances behind the hubs wait longer, so that
+	 * not all poll at once; a version must be in force 2 s after its
 	 * confirmation.
 	 */
 	SILENCE_BEHIND_HUBS_MS = 1500,
 	/*
-	 * A poll from before a peer told of a record may have been lost, or
-	 * its answer is on the way: 500 KB take 0.4 s on a link of 10 Mbit/s.
+	 * A poll sent before a peer reported a record may be lost, or its
+	 * answer may be in transit: 500 KB take 0.4 s on a link of 10 Mbit/s.
 	 */
 	IN_TRANSIT_MS = 700,
 	/*
-	 * Pause after a version, so that a series of them costs a few calls;
+	 * Pause after a version, so that a series of versions costs few calls;
 	 * a version must be in force 2 s after its confirmation.
 	 */
 	POLL_PAUSE_MAX_MS = 300,
 	POLL_PAUSE_MIN_MS = 200,
-	RETRY_MS = 200, /* after a failure, doubled up to the longest */
+	RETRY_MS = 200, /* after the first failure; doubles up to the maximum */
 	RETRY_MAX_MS = 800,
 	/*
-	 * When others look after the store: they tell when it is back, and
-	 * one that hears nobody must have a version in force within 5 s.
+	 * The hubs retry often and report when the store is back; an instance
+	 * that hears from none must have a version in force within 5 s.
 	 */
 	RETRY_BEHIND_HUBS_MS = 2800,
 };
@@ -61,14 +62,14 @@
 	return digest;
 }
 
-/* config_poll_wait_ms() says how long a poll waits; random lies in 0..1. */
+/* config_poll_wait_ms() returns how long a poll waits; `random` is in 0..1. */
 int config_poll_wait_ms(double random)
 {
 	return POLL_WAIT_MIN_MS +
 	       (int)((POLL_WAIT_MAX_MS - POLL_WAIT_MIN_MS) * random);
 }
 
-/* config_poll_pause_ms() says how long after a version the next one begins. */
+/* config_poll_pause_ms() returns the pause after a version, likewise. */
 int config_poll_pause_ms(double random)
 {
 	return POLL_PAUSE_MIN_MS +
@@ -92,7 +93,10 @@
 	return lstr_eq(record, buf_lstr(&w->record));
 }
 
-/* `before`: what was taken in before this record was asked for. */
+/*
+ * Decodes a record if it is newer than the current version. `known`: position
+ * up to which records were applied when the record was requested.
+ */
 static struct config *decode_newer(struct config_watch *w,
 				   const struct store_record *rec,
 				   struct store_position known)
@@ -107,7 +111,7 @@
 	return config_source_decode_newer(&w->source, rec, &current);
 }
 
-/* Takes over a usable version and keeps its record for peers. */
+/* Applies a version and keeps its record for peers. */
 static void apply(struct config_watch *w, struct config *c,
 		  const struct store_record *rec, const char *by)
 {
@@ -124,8 +128,8 @@
 }
 
 /*
- * Takes the newest usable version of a batch of records. `before`: what was
- * taken in by then.
+ * Applies the newest valid version of a batch of records. `known`: position up
+ * to which records were applied before the batch.
  */
 static void apply_newest(struct config_watch *w, const struct store_result *r,
 			 struct store_position known)
@@ -145,7 +149,7 @@
 	}
 }
 
-/* Nothing was written yet: the first version may be known all the same. */
+/* Applies the default version, which is used while nothing is written. */
 static void apply_absent(struct config_watch *w)
 {
 	struct store_record none = {.key = lstr0(w->source.key)};
@@ -156,8 +160,8 @@
 }
 
 /*
- * config_watch_import() takes a peer's newest record, which stands before
- * `pos` and was the newest at told_ms; the store is read on from there.
+ * config_watch_import() applies a peer's newest record, which precedes `pos`
+ * and was the newest at told_ms; reading continues from there.
  */
 void config_watch_import(struct config_watch *w, struct lstr record,
 			 struct store_position pos, int64_t told_ms)
@@ -177,14 +181,19 @@
 	w->peer_confirmed_ms = told_ms;
 }
 
-/* The store has nothing at the bookmark any more. */
+/*
+ * Requests a full listing: the store no longer has the position to read from.
+ */
 static void request_listing(struct config_watch *w)
 {
 	mp_event(EV_STORE_LIST_ANEW, G_LOG_LEVEL_MESSAGE,
 		 "what=config offset=%" G_GUINT64_FORMAT
 		 " era=%" G_GUINT64_FORMAT " known_era=%" G_GUINT64_FORMAT,
 		 w->pos.offset, w->pos.era, w->store.store->era);
-	/* Once at once; a store that says so of each read is not asked at will. */
+	/*
+	 * Repeated at once, then with delays in case the store rejects every
+	 * read.
+	 */
 	schedule_read(w, w->relist ? RETRY_MS : 0);
 	w->relist = true;
 }
@@ -227,9 +236,10 @@
 	w->listed = true;
 	w->fresh_ms = clock_ms();
 	/*
-	 * Before the version is taken over: it is told to the peers then, by
-	 * this offset. By the one before they heard nothing new, and had it
-	 * half a second later, with the next heartbeat.
+	 * Set before the version is applied, since `changed` reports it to
+	 * peers with this position. With the previous position they saw nothing
+	 * new, and got the version with the next heartbeat, half a second
+	 * later.
 	 */
 	if (store_position_cmp(r->end, w->pos) > 0)
 		w->pos = r->end;
@@ -243,7 +253,7 @@
 				       : 0);
 }
 
-/* A bookmark of an earlier era marks nothing in the store's present log. */
+/* A position of an earlier era is meaningless in the store's present log. */
 static bool is_bookmark_valid(const struct config_watch *w)
 {
 	return w->pos.era == w->store.store->era;
@@ -265,15 +275,17 @@
 }
 
 /*
- * config_watch_tick() polls when it is this instance's turn (`first`), or
- * when no peer says that it knows the newest version. Without `may_ask` it
- * waits for a peer to peer_fetch it. Call it every 0.1 s or so.
+ * config_watch_tick() polls when it is this instance's turn (`first`), or when
+ * no peer has confirmed the newest version for a while. Without `may_ask` it
+ * waits for a peer's version to be imported. Call it about every 0.1 s.
  */
 void config_watch_tick(struct config_watch *w, bool may_ask, bool first,
 		       int64_t now_ms)
 {
 	int silence_ms = w->behind_hubs ? SILENCE_BEHIND_HUBS_MS : SILENCE_MS;
-	/* After a rise of the era those that read the store have their turn. */
+	/*
+	 * After a change of era, the polling instances get time to read first.
+	 */
 	int64_t heard_ms = MAX(w->peer_confirmed_ms, w->era_ms);
 
 	w->polls = may_ask && (first || now_ms - heard_ms > silence_ms);
@@ -281,14 +293,14 @@
 		send_read(w);
 }
 
-/* config_watch_read() reads on now, if no call is under way. */
+/* config_watch_read() reads new records now, if no call is pending. */
 void config_watch_read(struct config_watch *w)
 {
 	if (is_idle(w))
 		send_read(w);
 }
 
-/* Takes over a peer's bookmark, if that marks anything in the present era. */
+/* Takes over a peer's position, if it belongs to the present era. */
 static void advance(struct config_watch *w, struct store_position pos,
 		    int64_t told_ms)
 {
@@ -304,9 +316,9 @@
 }
 
 /*
- * config_watch_apply_peer() takes a peer's newest usable record, which is all that
- * matters of the records before `pos`. Returns 0, or -ESTALE when the peer
- * knows less than is known here, so that the store must be read.
+ * config_watch_apply_peer() applies a peer's newest valid record, which
+ * supersedes all records before `pos`. Returns 0, or -ESTALE if the peer knows
+ * less than this instance, so that the store must be read.
  */
 int config_watch_apply_peer(struct config_watch *w, struct lstr record,
 			    struct store_position pos, int64_t told_ms)
@@ -327,7 +339,7 @@
 	return 0;
 }
 
-/* A peer knows of records that this instance hasn't read: since when? */
+/* Records since when a peer is known to have read records that are new here. */
 static void record_behind(struct config_watch *w, struct store_position pos,
 			  int64_t now_ms)
 {
@@ -340,7 +352,7 @@
 		w->peer_pos = pos;
 }
 
-/* Whether a peer's version counts more than the one that is in force. */
+/* Returns whether a peer's version supersedes the current one. */
 static bool is_newer(const struct config_watch *w, const struct config_mark *m)
 {
 	if (m->version != w->version)
@@ -348,7 +360,10 @@
 	return m->digest != w->digest && store_position_cmp(m->pos, w->pos) > 0;
 }
 
-/* A newer version is in the store, unless that has come back without it. */
+/*
+ * Decides how to get a peer's newer version. The store has it, unless it was
+ * restored from a backup that lacks it.
+ */
 static enum config_action choose_action(struct config_watch *w,
 					const struct config_mark *m,
 					int64_t now_ms)
@@ -363,20 +378,20 @@
 	if (!ahead || m->pos.era != w->pos.era || !is_bookmark_valid(w))
 		return w->invalid_digest == m->digest ? CONFIG_NO_ACTION
 						      : CONFIG_ASK_PEER;
-	/* A call from after that time brings it, however long it takes. */
+	/* A call sent after that time returns it, however long it takes. */
 	if (w->store.call != STORE_NO_CALL && w->call_sent_ms < w->behind_ms &&
 	    now_ms - w->behind_ms > IN_TRANSIT_MS)
 		config_watch_restart(w);
-	/* Somebody could read it: the pause after a failure is over. */
+	/* A peer was able to read it, so the pause after a failure ends. */
 	if (w->failures && ev_is_active(&w->retry))
 		ev_timer_stop(w->loop, &w->retry);
 	return is_idle(w) ? CONFIG_READ_STORE : CONFIG_NO_ACTION;
 }
 
 /*
- * config_watch_on_mark() takes in how far a peer knows the configuration. Returns
- * what is to be done about a version that is new here and that no call under
- * way will bring.
+ * config_watch_on_mark() handles a peer's report of how far it knows the
+ * configuration. Returns the action needed to get a version that is new here
+ * and that no pending call will return.
  */
 enum config_action config_watch_on_mark(struct config_watch *w,
 					const struct config_mark *m,
@@ -391,9 +406,10 @@
 }
 
 /*
- * config_watch_age_ms() tells how old the knowledge of the newest version is.
- * While a poll waits it is as new as the last sign of the store, which came
- * at store_ms. AGE_UNKNOWN: nobody has confirmed it in the store's present era.
+ * config_watch_age_ms() returns the age of the last confirmation that the
+ * current version is the newest. A waiting poll counts as confirmed by the
+ * store's last answer to any call, received at store_ms. Returns AGE_UNKNOWN if
+ * nothing was confirmed in the store's present era.
  */
 uint32_t config_watch_age_ms(const struct config_watch *w, int64_t store_ms,
 			     int64_t now_ms)
@@ -410,17 +426,14 @@
 	return (uint32_t)MIN(now_ms - at, AGE_UNKNOWN - 1);
 }
 
-/*
- * config_watch_is_behind() tells whether a peer has a version, fit to be used,
- * that counts more than the one in force here.
- */
+/* config_watch_is_behind() returns whether a peer has a newer valid version. */
 bool config_watch_is_behind(const struct config_watch *w)
 {
 	return is_newer(w, &w->newest_mark) &&
 	       w->newest_mark.digest != w->invalid_digest;
 }
 
-/* config_watch_mark() says how far this instance knows the configuration. */
+/* config_watch_mark() returns how far this instance knows the configuration. */
 struct config_mark config_watch_mark(const struct config_watch *w,
 				     int64_t store_ms, int64_t now_ms)
 {
@@ -433,8 +446,9 @@
 }
 
 /*
- * config_watch_new_era() drops what belongs to the earlier one: bookmark, ages
- * and the call under way, but not the version. Not from within a call's outcome.
+ * config_watch_new_era() invalidates the position and ages of the previous era
+ * and cancels its pending call; the current version stays. Must not be called
+ * from a store callback.
  */
 void config_watch_new_era(struct config_watch *w, int64_t now_ms)
 {
@@ -447,7 +461,10 @@
 		schedule_read(w, 0);
 }
 
-/* config_watch_start() begins to follow; `changed` owns what it gets. */
+/*
+ * config_watch_start() initializes the watch; `changed` owns the configuration
+ * that it gets.
+ */
 void config_watch_start(struct config_watch *w, struct ev_loop *loop,
 			struct store_endpoint *store,
 			const struct config_source *source,
@@ -465,7 +482,7 @@
 }
 
 /*
- * config_watch_restart() asks anew on another connection: the poll under way
+ * config_watch_restart() repeats the read on a new connection: the pending poll
  * may never be answered.
  */
 void config_watch_restart(struct config_watch *w)
--- a/control/config_watch.h
+++ b/control/config_watch.h
@@ -1,9 +1,9 @@
 /*
- * Follows the configuration in the platform's store. The first instances keep
- * a long poll there; the others hear from them which records there are, read
- * those that are new to them, and poll as well when they hear nothing. Versions
- * are ordered by their number alone; a position is a bookmark in one era of the
- * store, which may come back from a copy that lacks versions known here.
+ * Follows the configuration in the platform's store. The first instances keep a
+ * long poll open; the others learn from them which records exist, read those
+ * that are new, and poll as well if they hear nothing. Versions are ordered by
+ * their number alone. A position is valid in one era of the store, which may be
+ * restored from a backup that lacks versions known here.
  */
 #ifndef MP_CONTROL_CONFIG_WATCH_H
 #define MP_CONTROL_CONFIG_WATCH_H
@@ -11,11 +11,11 @@
 #include "control/config_source.h"
 #include "member/peers.h"
 
-/* What is to be done about a peer's word. */
+/* How to get a version that a peer has reported. */
 enum config_action {
-	CONFIG_NO_ACTION,  /* nothing */
+	CONFIG_NO_ACTION,  /* nothing to do */
 	CONFIG_READ_STORE, /* the store has a record that is new here */
-	CONFIG_ASK_PEER,   /* the peer has one; the store may have lost it */
+	CONFIG_ASK_PEER,   /* the peer has one that the store may have lost */
 };
 
 struct config_watch {
@@ -23,26 +23,24 @@
 	struct config_source source;
 	struct store_channel store;
 	ev_timer retry;
-	struct buf record;	   /* of the newest usable version, for peers */
-	uint32_t digest;	   /* of that record */
-	bool listed;		   /* the newest version was asked for once */
-	bool relist;		   /* the store has nothing at `pos` any more */
-	struct store_position pos; /* records before it are taken in */
-	uint64_t version;	   /* the newest usable one; 0: none */
-	uint32_t invalid_digest;   /* of a peer's record that can't be used */
-	struct config_mark
-		newest_mark; /* a peer's, that is newer than what is in force */
-	unsigned failures;   /* in a row */
-	int64_t call_sent_ms; /* the call under way was sent then */
-	bool behind_hubs;     /* others find out when the store is back */
-	bool polls;	      /* a poll is to be under way all the time */
-	int64_t fresh_ms;     /* the store told of the newest record then */
-	int64_t peer_confirmed_ms; /* a peer knew that there is nothing newer */
-	int64_t era_ms; /* the store's present era was heard of then */
-	struct store_position
-		peer_pos;  /* records before it are known to a peer */
-	int64_t behind_ms; /* since then it is known that some are missing */
-	struct store_position behind_pos; /* from there on */
+	struct buf record; /* of the newest valid version, for peers */
+	uint32_t digest;   /* of that record */
+	bool listed;	   /* the newest version was read at least once */
+	bool relist;	   /* the store no longer has `pos` */
+	struct store_position pos;	/* records before it are applied */
+	uint64_t version;		/* the newest valid one; 0: none */
+	uint32_t invalid_digest;	/* a peer's invalid record */
+	struct config_mark newest_mark; /* supersedes `version` */
+	unsigned failures;		/* consecutive */
+	int64_t call_sent_ms;		/* when the pending call was sent */
+	bool behind_hubs; /* the hubs detect when the store is back */
+	bool polls;	  /* a poll is to be pending at all times */
+	int64_t fresh_ms; /* when the store last returned the newest record */
+	int64_t peer_confirmed_ms; /* a peer confirmed it as newest */
+	int64_t era_ms; /* when the store's present era was learned */
+	struct store_position peer_pos; /* known to a peer */
+	int64_t behind_ms; /* since when records are known to be missing here */
+	struct store_position behind_pos; /* `pos` at that time */
 	void (*changed)(void *priv, struct config *c);
 	void *priv;
 };
--- a/control/control.c
+++ b/control/control.c
@@ -13,27 +13,27 @@
 #include "misc/clock.h"
 
 enum {
-	/* Granularity of all that is due; reads are due twice a second. */
+	/* Granularity of periodic work; reads are due about twice a second. */
 	TICK_MS = 100,
-	/* Waits for room in the queue to the traffic thread: 5 s in all. */
+	/* Attempts to enqueue a message to the traffic thread: 5 s in all. */
 	SEND_TRIES = 5000,
 	SEND_PAUSE_US = 1000,
 	/*
-	 * Instances that poll for the configuration: one poll may be lost
-	 * for 3 s, and a version must be in force everywhere within 2 s.
+	 * Instances that poll for the configuration: a poll may be lost for 3
+	 * s, and a version must be in force everywhere within 2 s.
 	 */
 	CONFIG_POLLERS = 2,
 	/*
-	 * Without the store an instance knows the others by then: they send
-	 * heartbeats also to those that seem lost, every 5 s.
+	 * If the store is unreachable, all peers are known by then: they send
+	 * heartbeats every 5 s even to instances that seem lost.
 	 */
 	DISCOVERY_MS = 6000,
 };
 
 /*
- * control_send_traffic() sends the traffic thread a message. A listing of many servers
- * may fill the queue before that has had its turn; it never waits for this thread, so
- * waiting for it is safe.
+ * control_send_traffic() sends a message to the traffic thread. A listing of
+ * many servers may fill the queue faster than the traffic thread empties it.
+ * The traffic thread never waits for this one, so blocking here can't deadlock.
  */
 void control_send_traffic(struct control *c, int kind, void *data)
 {
@@ -42,7 +42,8 @@
 			return;
 		usleep(SEND_PAUSE_US);
 	}
-	mp_invariant(false, "the traffic thread takes no messages; kind=%d",
+	mp_invariant(false,
+		     "the queue to the traffic thread stayed full; kind=%d",
 		     kind);
 }
 
@@ -72,7 +73,7 @@
 	control_send_traffic(priv, TO_TRAFFIC_BACKEND, copy);
 }
 
-/* What every datagram says of this instance. */
+/* Updates what every datagram says about this instance. */
 static void update_self(struct control *c, int64_t now_ms)
 {
 	struct peer_info *self = &c->peers.peers.self;
@@ -80,9 +81,9 @@
 	self->store_era = c->store.era;
 	self->records_era = c->records.checked_era;
 	/*
-	 * Only the store's answers to this instance vouch for its poll: a list
-	 * that others fed kept two pollers that were both cut off from the
-	 * store from being replaced, and a version was in force 3 s late.
+	 * Only answers of the store to this instance confirm its poll. When
+	 * lists fed by peers counted too, two pollers cut off from the store
+	 * were not replaced, and a version was in force 3 s late.
 	 */
 	self->config =
 		config_watch_mark(&c->config, c->backends.answered_ms, now_ms);
@@ -92,8 +93,8 @@
 }
 
 /*
- * A new version. One that a poll brought is told to the peers at once: they
- * would hear of it half a second later.
+ * Handles a new version. One that a poll returned is reported to the peers at
+ * once; with the next heartbeat they would learn of it half a second later.
  */
 static void on_config(void *priv, struct config *cfg)
 {
@@ -107,7 +108,9 @@
 	peer_channel_heartbeat_live(&c->peers, now_ms);
 }
 
-/* Passes the list on, unless nobody knows yet what the present era holds. */
+/*
+ * Sends the recent changes, unless the list isn't confirmed in the present era.
+ */
 static void send_feed(struct control *c, enum feed_target to, int64_t now_ms)
 {
 	if (backend_watch_is_current(&c->backends))
@@ -115,7 +118,7 @@
 			    now_ms);
 }
 
-/* After an own read: passes it on, which also is a heartbeat. */
+/* Sends the changes of an own read to the peers; it counts as a heartbeat. */
 static void on_read_done(void *priv, bool recovered)
 {
 	struct control *c = priv;
@@ -131,13 +134,13 @@
 }
 
 /*
- * A peer has a version that is new here: in a large system it is asked for
- * it, as the store's calls are dear there.
+ * Gets a version that a peer has reported. In a large system it is fetched from
+ * the peer, to save calls to the store.
  */
 static void fetch_config(struct control *c, const struct peer_info *peer,
 			 enum config_action need)
 {
-	/* If another question is under way, the next heartbeat asks again. */
+	/* If another fetch is pending, the next heartbeat tries again. */
 	if (need == CONFIG_ASK_PEER)
 		(void)peer_fetch_config(&c->peer_fetch, peer, true);
 	else if (need == CONFIG_READ_STORE &&
@@ -146,7 +149,7 @@
 		config_watch_read(&c->config);
 }
 
-/* What a peer tells that is not about who lives. */
+/* Handles a peer's message, except for membership. */
 static void on_peer(void *priv, const struct gossip_message *m)
 {
 	struct control *c = priv;
@@ -167,7 +170,9 @@
 		config_watch_on_mark(&c->config, &m->sender.config, now_ms));
 }
 
-/* Both hold elements of so many bytes. */
+/*
+ * Returns whether two arrays have equal contents; `size` is that of an element.
+ */
 static bool arrays_equal(const GArray *a, const GArray *b, size_t size)
 {
 	return a && b && a->len == b->len &&
@@ -190,7 +195,7 @@
 		g_array_unref(v->sharers);
 }
 
-/* Those that share what servers take; empty while they aren't known yet. */
+/* Returns the instances that share the servers' limits; empty until known. */
 static GArray *sharers(const struct control *c, int64_t now_ms)
 {
 	bool known = c->record.listed || now_ms - c->started_ms > DISCOVERY_MS;
@@ -202,7 +207,7 @@
 			     now_ms);
 }
 
-/* Tells the traffic thread of the peers when something changed. */
+/* Sends the traffic thread the peers if they have changed. */
 static void publish_peers(struct control *c, int64_t now_ms)
 {
 	struct peer_view v = {
@@ -220,7 +225,7 @@
 		 v.named->len, v.sharers->len);
 	clear_view(&c->last_view);
 	c->last_view = v;
-	/* Both threads only read them, and hold them by a reference each. */
+	/* Both threads only read the arrays, and each holds a reference. */
 	g_array_ref(v.named);
 	g_array_ref(v.sharers);
 	control_send_traffic(c, TO_TRAFFIC_PEERS, g_memdup2(&v, sizeof(v)));
@@ -253,7 +258,10 @@
 	};
 }
 
-/* Those that don't read the store go on from the bookmark of one that does. */
+/*
+ * Announces a new era at once: instances that don't read the store continue
+ * from the position of one that does.
+ */
 static void announce_era(struct control *c, int64_t now_ms)
 {
 	if (!c->config.polls || c->config.pos.era == c->era_announced)
@@ -262,7 +270,7 @@
 	peer_channel_heartbeat_live(&c->peers, now_ms);
 }
 
-/* Does all that is due. */
+/* Runs all periodic work that is due. */
 static void run_due(struct control *c)
 {
 	int64_t now_ms = clock_ms();
@@ -322,7 +330,7 @@
 			     g_memdup2(v, sizeof(*v)));
 }
 
-/* Verdicts that stand in the store. */
+/* Handles verdicts read from the store. */
 static void on_stored_verdicts(void *priv, const GArray *news)
 {
 	struct control *c = priv;
@@ -330,13 +338,13 @@
 	crash_watch_add_stored(&c->crashes, news);
 }
 
-/* The members are known: what to do next depends on how many there are. */
+/* Continues the startup now that the number of members is known. */
 static void on_members(void *priv)
 {
 	run_due(priv);
 }
 
-/* SIGTERM: peers drop this instance from their answers at once. */
+/* Handles SIGTERM and SIGINT: peers stop naming this instance to callers. */
 static void on_term(struct ev_loop *loop, ev_signal *s, int revents)
 {
 	struct control *c = s->data;
@@ -351,7 +359,7 @@
 	control_send_traffic(c, TO_TRAFFIC_STOP, NULL);
 }
 
-/* Takes over changed settings and says which wait for the next start. */
+/* Applies changed settings and logs those that need a restart. */
 static void apply_settings(struct control *c,
 			   const struct instance_settings *loaded)
 {
@@ -373,7 +381,7 @@
 		g_memdup2(&c->settings.bounds, sizeof(c->settings.bounds)));
 }
 
-/* SIGHUP: the settings are read and checked anew; bad ones change nothing. */
+/* Handles SIGHUP: reloads the settings; invalid ones change nothing. */
 static void on_hup(struct ev_loop *loop, ev_signal *s, int revents)
 {
 	struct control *c = s->data;
@@ -381,7 +389,7 @@
 
 	if (c->settings_source.load(c->settings_source.priv, &loaded))
 		mp_event(EV_RELOADED, G_LOG_LEVEL_MESSAGE,
-			 "settings=bad; the old ones stay in force");
+			 "settings=bad; the previous settings stay in force");
 	else
 		apply_settings(c, &loaded);
 }
@@ -416,8 +424,8 @@
 }
 
 /*
- * control_init() prepares the control thread on the default loop of the
- * calling thread. Returns 0 or a negative errno.
+ * control_init() prepares the control thread on the default loop of the calling
+ * thread. Returns 0 or a negative errno.
  */
 int control_init(struct control *c, const struct instance_settings *s,
 		 const struct settings_source *settings_source,
@@ -439,7 +447,7 @@
 		g_strlcpy(self.own, s->own, sizeof(self.own));
 	if (getrandom(&self.boot, sizeof(self.boot), 0) != sizeof(self.boot))
 		return -EIO;
-	self.boot >>= 1; /* fits a signed reader too */
+	self.boot >>= 1; /* fits a signed integer too */
 	rc = peer_channel_open(&c->peers, c->loop, s->peers, &self, on_peer, c);
 	if (rc)
 		return rc;
@@ -454,7 +462,9 @@
 	return 0;
 }
 
-/* control_run() runs the control thread until the traffic has stopped. */
+/*
+ * control_run() runs the control thread until the traffic thread has stopped.
+ */
 void control_run(struct control *c)
 {
 	struct sockaddr_in addr;
--- a/control/control.h
+++ b/control/control.h
@@ -1,7 +1,7 @@
 /*
- * The control thread of an entry instance: the platform's store, the peers
- * and the signals. It owns what the instance believes of the system and
- * sends changes to the traffic thread.
+ * The control thread of an entry instance: it talks to the platform's store and
+ * to the peers, and handles signals. It owns the instance's view of the system
+ * and sends changes to the traffic thread.
  */
 #ifndef MP_CONTROL_CONTROL_H
 #define MP_CONTROL_CONTROL_H
@@ -25,7 +25,7 @@
 	TO_TRAFFIC_BACKEND = 2,	   /* struct backend_change * */
 	TO_TRAFFIC_PEERS = 3,	   /* struct peer_view * */
 	TO_TRAFFIC_LOAD = 5,	   /* struct peer_load * */
-	TO_TRAFFIC_STOP = 4,	   /* nothing: stop as planned */
+	TO_TRAFFIC_STOP = 4,	   /* no data: graceful stop */
 	TO_TRAFFIC_VERDICT = 7,	   /* struct verdict * */
 	TO_TRAFFIC_LIMITS = 8,	   /* struct limit_news * */
 	TO_TRAFFIC_LIMIT_CALL = 9, /* struct limit_call * */
@@ -35,46 +35,47 @@
 
 /* Messages from the traffic thread; the receiver owns the data. */
 enum from_traffic {
-	FROM_TRAFFIC_STOPPED = 1,    /* nothing: all is served */
+	FROM_TRAFFIC_STOPPED = 1,    /* no data: all requests are done */
 	FROM_TRAFFIC_CRASH = 3,	     /* struct crash_news * */
-	FROM_TRAFFIC_LOAD = 2,	     /* struct peer_load *, without a name */
-	FROM_TRAFFIC_LIMITS = 4,     /* struct limit_news *, without a name */
-	FROM_TRAFFIC_DRAIN = 6,	     /* struct drain_news *, without a name */
-	FROM_TRAFFIC_LIMIT_CALL = 5, /* struct limit_call *, without `from` */
+	FROM_TRAFFIC_LOAD = 2,	     /* struct peer_load *, sender not set */
+	FROM_TRAFFIC_LIMITS = 4,     /* struct limit_news *, sender not set */
+	FROM_TRAFFIC_DRAIN = 6,	     /* struct drain_news *, sender not set */
+	FROM_TRAFFIC_LIMIT_CALL = 5, /* struct limit_call *, `from` not set */
 };
 
-/* What the traffic thread needs of the peers. */
+/* What the traffic thread needs to know of the peers. */
 struct peer_view {
-	unsigned instances; /* that share the system's allowances */
-	GArray *named;	    /* struct peer_brief, those that callers may use */
-	/* struct limit_sharer, see peers_sharers(); empty: not known yet */
+	unsigned instances; /* number that share the system's limits */
+	GArray *named; /* struct peer_brief, instances that callers may use */
+	/* struct limit_sharer, see peers_sharers(); empty until known */
 	GArray *sharers;
 };
 
-/* What the traffic thread reads of the control thread, by atomic loads. */
+/* Values that the traffic thread reads by atomic loads. */
 struct control_view {
-	int64_t fresh_ms; /* the list of backend servers is as of then */
+	int64_t fresh_ms; /* the backend list is complete as of then */
 	uint64_t cpu_us;
-	uint64_t bytes_in, bytes_out; /* store and peers, bodies */
+	uint64_t bytes_in,
+		bytes_out; /* to and from store and peers, bodies only */
 	uint64_t store_calls;
-	uint64_t store_era;	/* 0: none named */
-	uint64_t config_offset; /* records before it are taken in */
-	uint64_t config_era;	/* in this era */
-	int64_t config_ms;	/* the newest version is known as of then */
+	uint64_t store_era;	/* 0: the store named none */
+	uint64_t config_offset; /* records before it are applied */
+	uint64_t config_era;	/* era of that position */
+	int64_t config_ms; /* time as of which the configuration is current */
 };
 
 struct control {
 	struct ev_loop *loop;
-	struct instance_settings settings; /* in force */
+	struct instance_settings settings; /* currently in force */
 	struct settings_source settings_source;
 	struct mailbox *out;
-	struct mailbox in; /* from the traffic thread: it has stopped */
+	struct mailbox in; /* messages from the traffic thread */
 	struct peer_channel peers;
 	struct peer_view last_view;
 	struct feeder feeder;
 	ev_timer tick;
-	ev_timer era_timer;	/* at once, but not from within a call */
-	uint64_t era_announced; /* the configuration's, as peers were told */
+	ev_timer era_timer; /* handles a new era outside the store callback */
+	uint64_t era_announced; /* last era told to peers */
 	ev_signal term, interrupt, hup;
 	struct store_endpoint store;
 	struct config_source source;
@@ -85,9 +86,9 @@
 	struct crash_watch crashes;
 	struct record_check records;
 	int64_t started_ms;
-	bool heard_peer; /* a peer was heard since the start */
-	bool can_serve; /* it has known what it needs to serve, and may serve */
-	int64_t stopping_ms; /* 0: not stopping */
+	bool heard_peer;     /* a peer was heard since startup */
+	bool can_serve;	     /* configuration and list were complete once */
+	int64_t stopping_ms; /* when stopping began; 0: not stopping */
 	struct control_view view;
 };
 
--- a/control/crash_record.c
+++ b/control/crash_record.c
@@ -4,10 +4,13 @@
 #include "common/event.h"
 #include "control/crash_record.h"
 
-/* The store is away for seconds at a time; nobody waits for the record. */
+/* Outages of the store last seconds, and nothing waits for the record. */
 enum { RETRY_MS = 1000 };
 
-/* crash_record_batch() adds a verdict's record; an answered one is dropped. */
+/*
+ * crash_record_batch() adds the record of a verdict, or deletes it if the
+ * request was answered.
+ */
 void crash_record_batch(struct buf *batch, const struct peer_info *self,
 			const struct crash_news *news)
 {
@@ -21,7 +24,7 @@
 	buf_free(&value);
 }
 
-/* Writes the first of those that wait. */
+/* Writes the first pending record. */
 static void next_call(struct crash_record *r)
 {
 	const struct crash_news *news = g_queue_peek_head(&r->pending);
@@ -64,12 +67,14 @@
 			 "what=quarantine failures=%u", r->failures);
 	r->failures = 0;
 	g_free(g_queue_pop_head(&r->pending));
-	/* Not from within the call that has just ended. */
+	/* Not from within the callback of the call that just ended. */
 	if (!g_queue_is_empty(&r->pending))
 		call_later(r, 0);
 }
 
-/* crash_record_is_pending() tells whether a write of the request's is to come. */
+/*
+ * crash_record_is_pending() returns whether a write for the request is pending.
+ */
 bool crash_record_is_pending(const struct crash_record *r, uint64_t digest)
 {
 	for (const GList *l = r->pending.head; l; l = l->next) {
@@ -81,7 +86,10 @@
 	return false;
 }
 
-/* crash_record_put() writes a verdict, or drops it when it was answered. */
+/*
+ * crash_record_put() queues the write of a verdict, or its deletion if the
+ * request was answered.
+ */
 void crash_record_put(struct crash_record *r, const struct crash_news *news)
 {
 	bool idle = g_queue_is_empty(&r->pending);
@@ -91,7 +99,9 @@
 		call_later(r, 0);
 }
 
-/* crash_record_start() prepares the channel; it connects when needed. */
+/*
+ * crash_record_start() initializes the channel; it connects on the first write.
+ */
 void crash_record_start(struct crash_record *r, struct ev_loop *loop,
 			struct store_endpoint *store,
 			const struct peer_info *self)
--- a/control/crash_record.h
+++ b/control/crash_record.h
@@ -1,8 +1,8 @@
 /*
- * Verdicts on requests that end servers, as records beside those of the
- * instances in the platform's store: an instance reads them with these when it
- * starts, so that a verdict outlives all processes at no further call. Few are
- * ever written; each is tried until the store has taken it.
+ * Records of verdicts on requests that crash servers. They are kept beside the
+ * instances' records in the platform's store: an instance reads both in one
+ * listing at startup, so verdicts survive restarts of all processes at no extra
+ * call. Few are ever written; each write is retried until it succeeds.
  */
 #ifndef MP_CONTROL_CRASH_RECORD_H
 #define MP_CONTROL_CRASH_RECORD_H
@@ -17,7 +17,7 @@
 	struct store_channel store;
 	const struct peer_info *self;
 	ev_timer retry;
-	GQueue pending; /* struct crash_news *, the first is under way */
+	GQueue pending; /* struct crash_news *, the first is being written */
 	unsigned failures;
 };
 
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -7,26 +7,25 @@
 
 enum {
 	/*
-	 * The first repetition comes after this, the next after twice as long
-	 * and so on: a judgement waits 50 ms, and a datagram and its first
-	 * repetition are both lost once in 1,000 times where links lose 3 in
-	 * 100.
+	 * Delay of the first repetition, doubled for each further one. A
+	 * decision waits 50 ms for evidence; if links lose 3 % of datagrams, a
+	 * datagram and its first repetition are both lost once in 1,000 times.
 	 */
 	EVIDENCE_REPEAT_MS = 20,
-	/* Ends and answers to suspects: for 0.14 s. */
+	/* Repeats ends and answers for 0.14 s. */
 	EVIDENCE_SENDS = 4,
 	/*
-	 * Verdicts and what ends them: for 12.7 s, so that one that was cut off
-	 * hears of it, four times in the first second. To 132 peers that is
-	 * 0.1 MB, a tenth of what a link of 10 Mbit/s carries.
+	 * Repeats verdicts and their ends for 12.7 s, so that an instance that
+	 * was cut off receives them, and four times in the first second. To 132
+	 * peers that is 0.1 MB, a tenth of what a link of 10 Mbit/s carries.
 	 */
 	VERDICT_REPEAT_MS = 100,
 	VERDICT_SENDS = 8,
-	/* Those that wait to be told again; the oldest are given up. */
+	/* Pending broadcasts; beyond it the oldest are dropped. */
 	BROADCASTS_MAX = 1024,
 };
 
-/* Something to be told to the others, and how often yet. */
+/* News to be sent repeatedly to the other instances. */
 struct broadcast {
 	struct crash_news news;
 	unsigned sends_left;
@@ -34,7 +33,7 @@
 	int64_t interval_ms;
 };
 
-/* What a change means for the log and for the traffic thread. */
+/* Log name, event and verdict for each kind of change. */
 static const struct {
 	const char *name;
 	enum mp_event event;
@@ -73,7 +72,7 @@
 	w->verdict(w->priv, &v);
 }
 
-/* Evidence goes to those that judge, verdicts go to all. */
+/* Evidence goes to the instances that decide, verdicts go to all. */
 static bool goes_to_all(const struct crash_watch *w, const struct broadcast *t)
 {
 	if (!w->many || t->news.kind == CRASH_NEWS_QUARANTINE)
@@ -96,7 +95,7 @@
 	buf_free(&b);
 }
 
-/* Sends those that are due and go to all, or those that go to the hubs. */
+/* Sends the due broadcasts that go to all, or those that go to the hubs. */
 static void send_due(struct crash_watch *w, bool to_all, int64_t now_ms)
 {
 	struct crash_news news[CRASH_NEWS_MAX];
@@ -117,7 +116,7 @@
 	send_news(w, news, n, to_all, now_ms);
 }
 
-/* Plans the next repetition of those that were sent. */
+/* Schedules the next repetition of the broadcasts that were sent. */
 static void schedule_repeats(struct crash_watch *w, int64_t now_ms)
 {
 	for (guint i = 0; i < w->broadcasts->len;) {
@@ -138,7 +137,7 @@
 	}
 }
 
-/* In a large system the hubs alone have all evidence. */
+/* Only the hubs receive all evidence in a large system. */
 static bool judges(const struct crash_watch *w)
 {
 	return !w->many || w->rank < HUBS;
@@ -178,7 +177,7 @@
 	run_due(t->data);
 }
 
-/* What was to be told of a request before is no longer so. */
+/* Cancels pending broadcasts about a request that are now outdated. */
 static void cancel_broadcasts(struct crash_watch *w, uint64_t digest)
 {
 	for (guint i = w->broadcasts->len; i > 0; i--) {
@@ -190,7 +189,7 @@
 	}
 }
 
-/* Tells the others, now and again; sent from the loop, not from here. */
+/* Schedules a repeated broadcast; it is sent from the event loop. */
 static void add_broadcast(struct crash_watch *w, const struct crash_news *news,
 			  unsigned times)
 {
@@ -214,8 +213,9 @@
 }
 
 /*
- * The first instances keep a verdict for all, whoever reached it; one alone
- * may be cut off from the store. What they reached themselves they tell.
+ * Stores and broadcasts a new verdict. The first instances all store it,
+ * whoever decided, since one of them may be cut off from the store. They
+ * broadcast only their own decisions.
  */
 static void announce(struct crash_watch *w, const struct crash_case *c)
 {
@@ -232,8 +232,8 @@
 }
 
 /*
- * A verdict that no longer holds leaves the store by one instance's call, and
- * by those of whoever may write it yet: the store was away.
+ * Deletes the stored verdict of a case that ended. One instance does so, and
+ * also each one whose write is still pending after an outage of the store.
  */
 static void drop_record(struct crash_watch *w, const struct crash_case *c,
 			enum crash_change change)
@@ -259,7 +259,7 @@
 		drop_record(w, c, change);
 }
 
-/* A request that nothing is held against needs no answer told. */
+/* An answer matters only for a request that has a case. */
 static void apply_answer(struct crash_watch *w, const struct crash_news *news,
 			 int64_t now_ms)
 {
@@ -270,14 +270,16 @@
 	if (!c)
 		return;
 	cancel_broadcasts(w, news->digest);
-	/* In a large system the hubs pass on what ends a verdict of theirs. */
+	/*
+	 * In a large system the hubs forward answers that end their verdicts.
+	 */
 	if (!w->source || (verdict && w->many && w->rank < HUBS))
 		add_broadcast(w, news,
 			      verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
 	crash_ledger_answered(&w->ledger, news->digest, now_ms);
 }
 
-/* One that tells of an end doesn't know the verdict yet. */
+/* An instance that reports another end doesn't know the verdict yet. */
 static void apply_end(struct crash_watch *w, const struct crash_news *news,
 		      int64_t now_ms)
 {
@@ -313,7 +315,7 @@
 	arm(w, now_ms);
 }
 
-/* crash_watch_add_local() takes in what this instance's traffic saw. */
+/* crash_watch_add_local() handles news from this instance's own traffic. */
 void crash_watch_add_local(struct crash_watch *w, const struct crash_news *news)
 {
 	w->source = NULL;
@@ -329,14 +331,14 @@
 	w->source = NULL;
 }
 
-/* crash_watch_add_peer() takes in news of a peer. */
+/* crash_watch_add_peer() handles news from a peer. */
 void crash_watch_add_peer(struct crash_watch *w, const char *teller,
 			  const GArray *news)
 {
 	apply_all(w, teller, news);
 }
 
-/* crash_watch_add_stored() takes in verdicts that stand in the store. */
+/* crash_watch_add_stored() handles verdicts read from the store. */
 void crash_watch_add_stored(struct crash_watch *w, const GArray *news)
 {
 	w->from_store = true;
@@ -345,7 +347,7 @@
 }
 
 /*
- * crash_watch_verdicts() lists the requests that are refused, as struct
+ * crash_watch_verdicts() returns the requests that are refused, as struct
  * crash_news; unref the array after use.
  */
 GArray *crash_watch_verdicts(const struct crash_watch *w)
@@ -365,7 +367,7 @@
 	return verdicts;
 }
 
-/* Tells those that have just joined which requests are refused. */
+/* Broadcasts all verdicts for instances that have just joined. */
 static void broadcast_verdicts(struct crash_watch *w)
 {
 	GArray *verdicts = crash_watch_verdicts(w);
@@ -376,7 +378,7 @@
 	g_array_unref(verdicts);
 }
 
-/* crash_watch_tick() does what is due; call it every 0.1 s or so. */
+/* crash_watch_tick() does periodic work; call it about every 0.1 s. */
 void crash_watch_tick(struct crash_watch *w, unsigned rank, bool many)
 {
 	w->rank = rank;
@@ -385,13 +387,15 @@
 		broadcast_verdicts(w);
 	w->joins = w->channel->joins;
 	crash_ledger_tick(&w->ledger, rank == 0, clock_ms());
-	/* It may be one of those that judge by now. */
+	/*
+	 * The rank may have changed, and with it whether this instance decides.
+	 */
 	arm(w, clock_ms());
 }
 
 /*
- * crash_watch_start() prepares everything; `verdict` hears of each change of
- * what is held against a request.
+ * crash_watch_start() initializes the watch; `verdict` is called for each
+ * change of a request's verdict.
  */
 void crash_watch_start(struct crash_watch *w, struct ev_loop *loop,
 		       struct store_endpoint *store,
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -1,12 +1,13 @@
 /*
- * What the instances together know of requests that end servers: takes in what
- * this one's traffic saw and what the others tell, passes it on, and tells the
- * traffic thread the verdicts.
+ * Shared knowledge of requests that crash servers: collects evidence from this
+ * instance's traffic and from peers, distributes it, and sends verdicts to the
+ * traffic thread.
  *
- * In a small system all tell all, and all judge on the same evidence. In a
- * large one all tell the hubs, which judge and tell all. Datagrams are lost, so
- * news are told several times; the first three instances also tell those that
- * join, and write the verdicts to the store.
+ * In a small system all instances exchange all evidence, and each decides on
+ * the same evidence. In a large one evidence goes to the hubs, which decide and
+ * broadcast verdicts. Datagrams get lost, so news are repeated; the first three
+ * instances also send verdicts to instances that join, and write them to the
+ * store.
  */
 #ifndef MP_CONTROL_CRASH_WATCH_H
 #define MP_CONTROL_CRASH_WATCH_H
@@ -21,13 +22,13 @@
 	struct crash_ledger ledger;
 	struct peer_channel *channel;
 	struct crash_record record;
-	ev_timer due;	    /* of the next judgement or telling */
-	GArray *broadcasts; /* struct telling */
-	unsigned rank;	    /* live instances before this one */
-	bool many;	    /* the system is a large one */
-	unsigned joins;	    /* of the channel that were answered */
-	const char *source; /* whose news are taken in; NULL: own ones */
-	bool from_store;    /* these stand in the store */
+	ev_timer due;	    /* next decision or broadcast */
+	GArray *broadcasts; /* struct broadcast */
+	unsigned rank;	/* number of live instances ordered before this one */
+	bool many;	/* the system is large */
+	unsigned joins; /* value of channel->joins at the last tick */
+	const char *source; /* who sent these news; NULL: this instance */
+	bool from_store;    /* the news being applied come from the store */
 	void (*verdict)(void *priv, const struct verdict *v);
 	void *priv;
 };
--- a/control/ended_servers.c
+++ b/control/ended_servers.c
@@ -3,21 +3,25 @@
 #include "control/ended_servers.h"
 
 enum {
-	/* Writes without an answer are done seconds later. */
+	/* Writes whose answer was lost are done some seconds later. */
 	STALE_WRITE_MS = 10 * 1000,
-	/* A copy is some seconds old; what has left before it isn't in it. */
+	/*
+	 * A backup is some seconds old; servers removed before it aren't in it.
+	 */
 	BACKUP_AGE_MAX_MS = 60 * 1000,
-	/* Beyond so many those that nothing can name any more are forgotten. */
+	/*
+	 * Beyond this number, entries older than BACKUP_AGE_MAX_MS are dropped.
+	 */
 	REMOVED_MAX = 1024,
 };
 
 struct ended_server {
-	struct backend_entry entry; /* its last word */
+	struct backend_entry entry; /* last known */
 	struct store_position pos;  /* of its removal */
 	int64_t at_ms;
 };
 
-/* ended_servers_init() makes an empty memory. */
+/* ended_servers_init() initializes an empty table. */
 void ended_servers_init(struct ended_servers *s)
 {
 	s->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
@@ -30,7 +34,7 @@
 	return *(const int64_t *)now_ms - x->at_ms >= BACKUP_AGE_MAX_MS;
 }
 
-/* ended_servers_add() remembers the last word of a server that is taken off. */
+/* ended_servers_add() remembers the last entry of a removed server. */
 void ended_servers_add(struct ended_servers *s, const struct backend_entry *e,
 		       struct store_position pos, int64_t now_ms)
 {
@@ -44,7 +48,10 @@
 	g_hash_table_replace(s->by_id, x->entry.id, x);
 }
 
-/* ended_servers_count() counts those of a service that were taken off since. */
+/*
+ * ended_servers_count() counts the servers of a service removed since
+ * since_ms.
+ */
 unsigned ended_servers_count(const struct ended_servers *s, const char *service,
 			     int64_t since_ms)
 {
@@ -62,8 +69,8 @@
 }
 
 /*
- * ended_servers_classify() tells what an entry is worth that stands at `pos`. In a
- * later era than the removal it may come from the copy.
+ * ended_servers_classify() classifies the entry of a server that is off the
+ * list. An entry of a later era than the removal may come from a backup.
  */
 enum entry_status ended_servers_classify(const struct ended_servers *s,
 					 const struct backend_entry *e,
--- a/control/ended_servers.h
+++ b/control/ended_servers.h
@@ -1,6 +1,7 @@
 /*
- * The last words of backend servers that are off the list: an earlier one may still
- * be on its way, or stand in the copy from which the store came back.
+ * The last known entries of servers that were removed from the list. Older
+ * entries of them may still arrive, or be in the backup from which the store
+ * was restored.
  */
 #ifndef MP_CONTROL_ENDED_SERVERS_H
 #define MP_CONTROL_ENDED_SERVERS_H
@@ -12,11 +13,11 @@
 	GHashTable *by_id; /* id -> struct ended_server * */
 };
 
-/* What an entry says of a server that is off the list. */
+/* What an entry means for a server that is off the list. */
 enum entry_status {
-	ENTRY_NEW,	   /* the server is back, or was never off */
-	ENTRY_STALE,	   /* an earlier word: it says nothing */
-	ENTRY_UNCONFIRMED, /* the copy has it; the server may have left, or be back */
+	ENTRY_NEW,	   /* the server is back, or was never removed */
+	ENTRY_STALE,	   /* older than the removal: ignored */
+	ENTRY_UNCONFIRMED, /* from a backup: the server may be gone, or back */
 };
 
 void ended_servers_init(struct ended_servers *s);
--- a/control/feeder.c
+++ b/control/feeder.c
@@ -1,22 +1,25 @@
 #include "control/feeder.h"
 
 enum {
-	/* The first hub repeats others' reads at the pace of its own. */
+	/*
+	 * Interval at which the first hub forwards others' reads, as for its
+	 * own.
+	 */
 	RELAY_INTERVAL_MS = 450,
 	/*
-	 * Changes of one feed at most, in nine datagrams of 1.2 KB: to 132
-	 * peers they are 1.4 MB, which a link of 10 Mbit/s takes 1.1 s to
-	 * carry. Peers that miss more read the store, a call each. When 432
-	 * servers start within 3 s, one read brings 65 changes.
+	 * Limit of changes in one feed, which fit nine datagrams of 1.2 KB: to
+	 * 132 peers they are 1.4 MB, which take 1.1 s on a link of 10 Mbit/s.
+	 * Peers that miss more read the store, one call each. When 432 servers
+	 * start within 3 s, one read returns 65 changes.
 	 */
 	CHANGES_MAX = 128,
 };
 
 /*
- * feeder_target_after_read() tells whom to feed what was just read. When the store
- * comes back in a large system all may read at once; if each fed each, the
- * changes of 432 servers would be 450 MB. So only hubs feed all, and others
- * tell the hubs what those could not read.
+ * feeder_target_after_read() returns who gets the changes of an own read. When
+ * the store comes back in a large system, all instances may read at once; if
+ * each fed all others, the changes of 432 servers would amount to 450 MB. So
+ * only hubs feed all, and others feed the hubs, which may have failed to read.
  */
 enum feed_target feeder_target_after_read(bool many, unsigned rank)
 {
@@ -24,8 +27,9 @@
 }
 
 /*
- * feeder_target_after_feed() tells whether this instance is to pass on what others
- * read: the first hub, when the list has become fresher since its last feed.
+ * feeder_target_after_feed() returns who gets the changes received from others:
+ * in a large system the first hub forwards them if the list has become fresher
+ * since its last feed.
  */
 enum feed_target feeder_target_after_feed(const struct feeder *f, bool many,
 					  unsigned rank, int64_t list_fresh_ms,
@@ -36,7 +40,7 @@
 	return now_ms - f->sent_ms >= RELAY_INTERVAL_MS ? FEED_ALL : FEED_NONE;
 }
 
-/* feeder_send() sends the list's changes of late. */
+/* feeder_send() sends the recent changes of the list. */
 void feeder_send(struct feeder *f, struct peer_channel *ch,
 		 struct backend_list *list, enum feed_target to, int64_t now_ms)
 {
--- a/control/feeder.h
+++ b/control/feeder.h
@@ -1,6 +1,6 @@
 /*
- * Passes on what this instance knows of the list of backend servers, after it
- * has read it or, as the first hub, after another instance has.
+ * Sends recent changes of the list of backend servers to peers, after this
+ * instance has read them or, on the first hub, after another instance has.
  */
 #ifndef MP_CONTROL_FEEDER_H
 #define MP_CONTROL_FEEDER_H
@@ -12,7 +12,7 @@
 
 struct feeder {
 	struct store_position sent_pos; /* changes before it were sent */
-	int64_t fresh_ms; /* the list was complete as of then when sent */
+	int64_t fresh_ms; /* freshness of the list when it was last sent */
 	int64_t sent_ms;
 };
 
--- a/control/member_record.c
+++ b/control/member_record.c
@@ -13,7 +13,7 @@
 	struct buf value = {0};
 
 	if (!m->written) {
-		/* A record has the form of a heartbeat. */
+		/* A record is encoded as a heartbeat. */
 		gossip_write_beat(&value, &m->peers->self);
 		store_append(&m->store, STORE_TOPIC_MEMBERS,
 			     lstr0(m->peers->self.name), buf_lstr(&value),
@@ -42,7 +42,7 @@
 
 		if (gossip_read(r->records[i].value, &msg) != 0)
 			mp_event(EV_PEER_BAD_DATAGRAM, G_LOG_LEVEL_WARNING,
-				 "record %.*s is none of ours",
+				 "record '%.*s' can't be decoded",
 				 (int)r->records[i].key.len,
 				 r->records[i].key.ptr);
 		else if (msg.kind == GOSSIP_CRASH)
@@ -85,8 +85,9 @@
 }
 
 /*
- * member_record_start() writes the record, then reads the others'; `done` is
- * called when they are known, `crashes` for each verdict that stands there.
+ * member_record_start() writes this instance's record, then reads the others'.
+ * `done` is called when they are read, `crashes` for each verdict stored with
+ * them.
  */
 void member_record_start(struct member_record *m, struct ev_loop *loop,
 			 struct store_endpoint *store, struct peer_table *peers,
--- a/control/member_record.h
+++ b/control/member_record.h
@@ -1,8 +1,9 @@
 /*
- * This instance's record among those of all instances in the platform's
- * store: written at each start, so that instances find each other, and read
- * once. From then on heartbeats tell who lives. Verdicts on requests that end
- * servers stand there as well, see control/crash_record.h.
+ * This instance's record among those of all instances in the platform's store.
+ * It is written at each startup, so that instances find each other; the others'
+ * are read once. From then on, heartbeats show which instances are alive.
+ * Verdicts on requests that crash servers are stored beside them, see
+ * control/crash_record.h.
  */
 #ifndef MP_CONTROL_MEMBER_RECORD_H
 #define MP_CONTROL_MEMBER_RECORD_H
@@ -14,7 +15,7 @@
 	struct ev_loop *loop;
 	struct store_channel store;
 	ev_timer retry;
-	void (*done)(void *priv); /* the members are known */
+	void (*done)(void *priv); /* the members' records were read */
 	void (*crashes)(void *priv, const GArray *news);
 	void *priv;
 	struct peer_table *peers;
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -8,8 +8,11 @@
 #include "misc/clock.h"
 
 enum {
-	DATAGRAMS_AT_ONCE = 32, /* so that timers get their turn */
-	/* A changed roll is sent whole this long, three times, against loss. */
+	DATAGRAMS_AT_ONCE = 32, /* per wakeup, so that timers get to run */
+	/*
+	 * A changed roll is sent in full for this long, three times, since
+	 * datagrams get lost.
+	 */
 	ROLL_WHOLE_MS = 1500,
 };
 
@@ -17,13 +20,13 @@
 		       const struct peer *p)
 {
 	ch->bytes_out += b->len;
-	/* A datagram that can't be sent is as good as lost. */
+	/* A datagram that can't be sent counts as lost. */
 	(void)!sendto(ch->sock, b->ptr, b->len, MSG_DONTWAIT | MSG_NOSIGNAL,
 		      (const struct sockaddr *)&p->info.addr,
 		      sizeof(p->info.addr));
 }
 
-/* Sends what also is a heartbeat. */
+/* Sends a datagram that also serves as a heartbeat. */
 static void send_datagram(struct peer_channel *ch, const struct buf *b,
 			  struct peer *p, int64_t now_ms)
 {
@@ -31,7 +34,10 @@
 	send_plain(ch, b, p);
 }
 
-/* peer_channel_send_plain() sends all live peers what is no heartbeat. */
+/*
+ * peer_channel_send_plain() sends all live peers a datagram that does not count
+ * as a heartbeat.
+ */
 void peer_channel_send_plain(struct peer_channel *ch, const struct buf *b,
 			     int64_t now_ms)
 {
@@ -44,8 +50,8 @@
 }
 
 /*
- * peer_channel_send_live() sends to all live peers. Whatever a peer is sent
- * also is a heartbeat.
+ * peer_channel_send_live() sends all live peers a datagram, which also serves
+ * as a heartbeat.
  */
 void peer_channel_send_live(struct peer_channel *ch, const struct buf *b,
 			    int64_t now_ms)
@@ -58,7 +64,7 @@
 	}
 }
 
-/* peer_channel_send_hubs() sends to the hubs only. */
+/* peer_channel_send_hubs() sends only to the hubs. */
 void peer_channel_send_hubs(struct peer_channel *ch, const struct buf *b,
 			    int64_t now_ms)
 {
@@ -70,7 +76,7 @@
 	}
 }
 
-/* A live peer, drawn at random; NULL: there is none. */
+/* Returns a random live peer, or NULL if there is none. */
 static const struct peer *random_live(const struct peer_channel *ch,
 				      int64_t now_ms)
 {
@@ -88,8 +94,8 @@
 }
 
 /*
- * peer_channel_send_limit_call() sends a grant to the one it is for; a question to the one
- * that is named, if it lives, and to another.
+ * peer_channel_send_limit_call() sends a grant to its recipient. A request goes
+ * to the named peer, if it is alive, and to another one.
  */
 void peer_channel_send_limit_call(struct peer_channel *ch,
 				  struct limit_call *call, int64_t now_ms)
@@ -107,7 +113,7 @@
 	buf_free(&b);
 }
 
-/* Whom a heartbeat goes to now. */
+/* Recipients of a heartbeat. */
 enum heartbeat_targets { TO_DUE, TO_LIVE, TO_ALL };
 
 static void send_heartbeats(struct peer_channel *ch, int64_t now_ms,
@@ -126,19 +132,19 @@
 	buf_free(&b);
 }
 
-/* peer_channel_heartbeat_live() tells the live ones at once what changed here. */
+/* peer_channel_heartbeat_live() sends live peers a heartbeat at once. */
 void peer_channel_heartbeat_live(struct peer_channel *ch, int64_t now_ms)
 {
 	send_heartbeats(ch, now_ms, TO_LIVE);
 }
 
-/* peer_channel_heartbeat_all() tells also those that seem gone. */
+/* peer_channel_heartbeat_all() also sends it to peers that seem lost. */
 void peer_channel_heartbeat_all(struct peer_channel *ch, int64_t now_ms)
 {
 	send_heartbeats(ch, now_ms, TO_ALL);
 }
 
-/* Sends the whole roll to one peer, or to all live ones. */
+/* Sends the full roll to one peer, or to all live ones if `to` is NULL. */
 static void send_whole_roll(struct peer_channel *ch, const struct roll *r,
 			    struct peer *to, int64_t now_ms)
 {
@@ -156,7 +162,7 @@
 	buf_free(&b);
 }
 
-/* While the roll changes it is sent whole, later its digest only. */
+/* Sends the full roll while it changes, and otherwise only its digest. */
 static void send_roll(struct peer_channel *ch, int64_t now_ms)
 {
 	struct buf b = {0};
@@ -180,7 +186,7 @@
 	buf_free(&b);
 }
 
-/* A peer that missed a part of the roll gets it whole. */
+/* Sends the full roll to a peer that missed a part of it. */
 static void send_roll_again(struct peer_channel *ch, const char *name,
 			    int64_t now_ms)
 {
@@ -208,7 +214,7 @@
 	buf_free(&b);
 }
 
-/* Asks the sender of a roll who those are that it names. */
+/* Asks the sender of a roll for the details of unknown members. */
 static void request_person(struct peer_channel *ch, struct peer *hub,
 			   const GArray *ids, int64_t now_ms)
 {
@@ -247,7 +253,9 @@
 	buf_free(&b);
 }
 
-/* A peer that is new, started anew or was thought lost hears from here. */
+/*
+ * Sends a heartbeat to a peer that is new, has restarted or was thought lost.
+ */
 static void on_peer_joined(struct peer_channel *ch,
 			   const struct peer_info *info, int64_t now_ms)
 {
@@ -298,14 +306,14 @@
 		ch->bytes_in += (uint64_t)n;
 		if (gossip_read((struct lstr){bytes, (size_t)n}, &m))
 			mp_event(EV_PEER_BAD_DATAGRAM, G_LOG_LEVEL_WARNING,
-				 "%zd bytes that are no message of ours", n);
+				 "datagram of %zd bytes can't be decoded", n);
 		else
 			on_message(ch, &m);
 		gossip_message_clear(&m);
 	}
 }
 
-/* peer_channel_tick() sends what is due; call it every 0.1 s or so. */
+/* peer_channel_tick() sends what is due; call it about every 0.1 s. */
 void peer_channel_tick(struct peer_channel *ch, int64_t now_ms)
 {
 	hubs_mark(&ch->peers, now_ms);
@@ -315,7 +323,7 @@
 }
 
 /*
- * peer_channel_open() binds the peers' address for datagrams. Returns 0 or a
+ * peer_channel_open() binds the peer address for datagrams. Returns 0 or a
  * negative errno.
  */
 int peer_channel_open(struct peer_channel *ch, struct ev_loop *loop,
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -1,6 +1,7 @@
 /*
- * Datagrams to and from the other entry instances: heartbeats, the roll, the
- * questions who somebody is, and whatever else the control thread sends them.
+ * Datagrams to and from the other entry instances: heartbeats, the roll of live
+ * instances, requests for a member's details, and whatever else the control
+ * thread sends.
  */
 #ifndef MP_CONTROL_PEER_CHANNEL_H
 #define MP_CONTROL_PEER_CHANNEL_H
@@ -14,13 +15,13 @@
 	struct peer_table peers;
 	int sock;
 	ev_io io;
-	unsigned joins;		 /* peers that came, or came back, so far */
-	bool joined;		 /* a peer is new; it hasn't heard of changes */
-	uint32_t roll_digest;	 /* of the last one sent */
-	int64_t roll_changed_ms; /* it was another then */
-	int64_t roll_sent_ms;	 /* this instance's last roll; 0: none */
+	unsigned joins;		 /* peers that joined or returned so far */
+	bool joined;		 /* a peer joined since the last feed */
+	uint32_t roll_digest;	 /* of the last roll sent */
+	int64_t roll_changed_ms; /* when that digest last changed */
+	int64_t roll_sent_ms;	 /* when the last roll was sent; 0: never */
 	uint64_t bytes_in, bytes_out;
-	/* A message that is not only about who lives. */
+	/* Called for each message that was received. */
 	void (*received)(void *priv, const struct gossip_message *m);
 	void *priv;
 };
--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -6,19 +6,19 @@
 #include "misc/clock.h"
 
 enum {
-	ASK_EVERY_MS = 300, /* another peer each time */
+	ASK_EVERY_MS = 300, /* each time from another peer */
 	SNAPSHOT_MAX = 16 << 20,
 	HEAD_MAX = 4096,
 	/*
-	 * A larger record is left to the store: the first instance is asked
-	 * by all others at once, and on a link of 10 Mbit/s 132 answers of
-	 * this size take 0.9 s of the 2 s in which a version must be in
-	 * force. Twenty routes take 4 KB.
+	 * Configuration records that are larger are read from the store. All
+	 * other instances ask the first one at once, and on a link of 10 Mbit/s
+	 * 132 answers of this size take 0.9 s of the 2 s in which a version
+	 * must be in force. Twenty routes take 4 KB.
 	 */
 	CONFIG_MAX = 8 * 1024,
 	/*
-	 * Snapshots at once. More don't come sooner: eight of 30 KB take 0.2 s
-	 * on a link of 10 Mbit/s; the others ask elsewhere.
+	 * Concurrent snapshots. More would not be faster: eight of 30 KB take
+	 * 0.2 s on a link of 10 Mbit/s. Others ask another peer.
 	 */
 	CONCURRENT_ANSWERS_MAX = 8,
 };
@@ -26,14 +26,14 @@
 static const double ASK_TIMEOUT_S = 0.5;
 static const double SERVER_TIMEOUT_S = 5;
 
-/* All that is known; without a large configuration; a small one only. */
+/* Everything; everything but a large configuration; a small configuration. */
 #define SNAPSHOT_WHOLE_PATH LSTR("/snapshot/whole")
 #define SNAPSHOT_PATH	    LSTR("/snapshot")
 #define CONFIG_PATH	    LSTR("/config")
-/* A version of any size, which the store may have lost. */
+/* A configuration of any size, in case the store has lost it. */
 #define CONFIG_WHOLE_PATH LSTR("/config/whole")
 
-/* Writes what this instance knows of the configuration, the list, or both. */
+/* Writes the configuration, the list of backend servers, or both. */
 static void write_snapshot(const struct peer_fetch *in, bool config,
 			   bool backends, struct buf *body)
 {
@@ -59,14 +59,17 @@
 	snapshot_clear(&s);
 }
 
-/* Answers with a status, and with a body if that is 200. */
+/* Returns the status of the answer and, if that is 200, its body. */
 static unsigned answer(const struct peer_fetch *in, struct lstr path,
 		       struct buf *body)
 {
 	bool small = in->config->record.len <= CONFIG_MAX;
 	bool version = lstr_eq(path, CONFIG_PATH);
 
-	/* A version is small, and all ask for it at the same moment. */
+	/*
+	 * Configurations aren't limited: they are small and requested by all at
+	 * once.
+	 */
 	if (!in->peers->self.ready ||
 	    (!version && in->server.nconns > CONCURRENT_ANSWERS_MAX))
 		return 503;
@@ -95,7 +98,7 @@
 
 static const struct http_server_ops server_ops = {on_request, NULL};
 
-/* Takes over what isn't known here by now. */
+/* Applies the parts of a snapshot that aren't known here yet. */
 static void apply_snapshot(struct peer_fetch *in, const struct snapshot *s)
 {
 	bool config = in->config->version == 0;
@@ -120,7 +123,7 @@
 		 s->backends_age_ms);
 }
 
-/* A version that is new here; if it can't be used the store is read. */
+/* Applies a new version; if it is invalid, the store is read. */
 static void apply_config(struct peer_fetch *in, const struct snapshot *s)
 {
 	if (config_watch_apply_peer(in->config, buf_lstr(&s->config),
@@ -135,7 +138,7 @@
 	return HTTP_TAKE;
 }
 
-/* A peer that is busy says 503 and isn't at fault. */
+/* Handles a failed request. A busy peer answers 503, which is no error. */
 static void on_no_answer(struct peer_fetch *in, unsigned status,
 			 const char *err)
 {
@@ -196,10 +199,9 @@
 }
 
 /*
- * peer_fetch_config() asks a peer for the version that it has; the store is
- * read if that brings nothing. `whole`: a large one too, as the store may have
- * lost it. Returns 0 when a peer is asked, by this call or an earlier one, or a
- * negative errno.
+ * peer_fetch_config() fetches a peer's version; the store is read if that
+ * fails. `whole`: also a large one, as the store may have lost it. Returns 0 if
+ * a request is pending, from this or an earlier call, or a negative errno.
  */
 int peer_fetch_config(struct peer_fetch *in, const struct peer_info *peer,
 		      bool whole)
@@ -210,8 +212,8 @@
 }
 
 /*
- * peer_fetch_tick() asks the next peer when it is time; call it often. `whole`:
- * for a large configuration too, as the store doesn't answer.
+ * peer_fetch_tick() asks the next peer when due; call it often. `whole`: also
+ * for a large configuration, since the store doesn't answer.
  */
 void peer_fetch_tick(struct peer_fetch *in, bool whole, int64_t now_ms)
 {
@@ -224,14 +226,14 @@
 	if (!p)
 		return;
 	in->asked_ms = now_ms;
-	/* If that fails at once another is asked next time. */
+	/* If this fails at once, another peer is asked next time. */
 	(void)send_request(in, &p->info,
 			   whole ? SNAPSHOT_WHOLE_PATH : SNAPSHOT_PATH);
 }
 
 /*
- * peer_fetch_init() listens for the questions of others on the peers' address
- * (TCP; heartbeats are UDP). Returns 0 or a negative errno.
+ * peer_fetch_init() listens for requests of peers on the peer address (TCP;
+ * heartbeats use UDP). Returns 0 or a negative errno.
  */
 int peer_fetch_init(struct peer_fetch *in, struct ev_loop *loop,
 		    const char *listen, struct peer_table *peers,
@@ -243,7 +245,7 @@
 	in->config = config;
 	in->backends = backends;
 	in->client.state = CLIENT_CLOSED;
-	/* Those that start together don't all ask the same one. */
+	/* Instances that start together begin with different peers. */
 	in->turn = (unsigned)peers->self.boot;
 	in->server.limits = (struct http_limits){HEAD_MAX, HEAD_MAX};
 	in->server.head_timeout_s = SERVER_TIMEOUT_S;
--- a/control/peer_fetch.h
+++ b/control/peer_fetch.h
@@ -1,8 +1,8 @@
 /*
- * An instance that starts in a large system, or while the store does not
- * answer, is introduced by a peer: it asks one that can serve for a snapshot of
- * what that one knows, and reads on in the store from there. In a large system
- * a new version of the configuration is asked of a peer as well.
+ * Fetches state from peers. An instance that starts in a large system, or while
+ * the store doesn't answer, gets a snapshot from a peer that can serve, and
+ * continues reading the store from there. In a large system new versions of the
+ * configuration are fetched from peers as well.
  */
 #ifndef MP_CONTROL_PEER_FETCH_H
 #define MP_CONTROL_PEER_FETCH_H
@@ -17,12 +17,12 @@
 	struct peer_table *peers;
 	struct config_watch *config;
 	struct backend_watch *backends;
-	struct http_server server; /* answers others */
-	struct http_client client; /* asks */
+	struct http_server server; /* answers peers */
+	struct http_client client; /* sends requests to peers */
 	struct peer_info target;
-	bool config_only;      /* the question under way is for a version */
-	bool config_too_large; /* the configuration is large: read the store */
-	unsigned refused;      /* questions that brought nothing */
+	bool config_only;      /* the pending request is for a version only */
+	bool config_too_large; /* read the configuration from the store */
+	unsigned refused;      /* failed requests */
 	int64_t asked_ms;
 	unsigned turn;
 };
--- a/control/publish.c
+++ b/control/publish.c
@@ -5,12 +5,13 @@
 #include "control/publish.h"
 #include "misc/clock.h"
 
-/* A peer that lives has answered the first heartbeat by then. */
+/* A live peer has answered the first heartbeat by then. */
 enum { FIRST_HEARTBEAT_MS = 1000 };
 
 /*
- * The store may have come back without a version that the peers know, so an
- * instance that has just started is sure of none before it has heard of them.
+ * Returns whether the configuration is confirmed. The store may have been
+ * restored without a version that the peers know, so an instance that has just
+ * started must hear from them first.
  */
 static bool is_config_confirmed(const struct control *c, int64_t now_ms)
 {
@@ -20,7 +21,9 @@
 	return (c->heard_peer || alone) && !config_watch_is_behind(&c->config);
 }
 
-/* control_publish_age() publishes how old the list and the configuration are. */
+/*
+ * control_publish_age() publishes the ages of the list and the configuration.
+ */
 void control_publish_age(struct control *c)
 {
 	int64_t now_ms = clock_ms();
@@ -34,14 +37,16 @@
 	ck_pr_store_64(&c->view.config_era, c->config.pos.era);
 	ck_pr_store_64((uint64_t *)&c->view.config_ms,
 		       (uint64_t)(now_ms - config_age_ms));
-	/* Nobody has confirmed in this era what is known of an earlier one. */
+	/* What is known from an earlier era is not confirmed in this one. */
 	ck_pr_store_64((uint64_t *)&c->view.fresh_ms,
 		       (uint64_t)(backend_watch_is_current(&c->backends)
 					  ? c->backends.list.fresh_ms
 					  : now_ms - AGE_UNKNOWN));
 }
 
-/* control_publish_usage() publishes what the control thread has cost so far. */
+/*
+ * control_publish_usage() publishes the resources used by the control thread.
+ */
 void control_publish_usage(struct control *c)
 {
 	const struct store_channel *channels[] = {
--- a/control/publish.h
+++ b/control/publish.h
@@ -1,4 +1,6 @@
-/* What the control thread lets the traffic thread and the metrics read. */
+/*
+ * Publishes state of the control thread to the traffic thread and the metrics.
+ */
 #ifndef MP_CONTROL_PUBLISH_H
 #define MP_CONTROL_PUBLISH_H
 
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -7,12 +7,15 @@
 
 enum {
 	/*
-	 * By then an instance that starts knows who is first, and verdicts that
-	 * are told repeatedly are known everywhere.
+	 * By then an instance that starts knows which one is first, and
+	 * repeated broadcasts of verdicts have reached all.
 	 */
 	CHECK_DELAY_MS = 2000,
 	RETRY_MS = 1000,
-	/* Bytes of one write; what doesn't fit is found missing once more. */
+	/*
+	 * Limit of bytes in one write; the rest is found missing by the next
+	 * check.
+	 */
 	BATCH_MAX = 1 << 20,
 };
 
@@ -22,14 +25,14 @@
 	g_array_set_size(r->verdicts, 0);
 }
 
-/* Takes in one record; members that were unknown are known from then on. */
+/* Applies one record; members that were unknown are added. */
 static void apply_record(struct record_check *r, const struct store_record *rec)
 {
 	struct gossip_message m;
 
 	if (gossip_read(rec->value, &m) != 0) {
 		mp_event(EV_PEER_BAD_DATAGRAM, G_LOG_LEVEL_WARNING,
-			 "record %.*s is none of ours", (int)rec->key.len,
+			 "record '%.*s' can't be decoded", (int)rec->key.len,
 			 rec->key.ptr);
 	} else if (m.kind == GOSSIP_CRASH) {
 		g_array_append_vals(r->verdicts, m.crashes->data,
@@ -43,7 +46,7 @@
 	gossip_message_clear(&m);
 }
 
-/* Adds the record of an instance unless it stands there. */
+/* Adds an instance's record to the batch unless it is stored. */
 static unsigned add_member(const struct record_check *r,
 			   const struct peer_info *p, struct buf *batch)
 {
@@ -81,7 +84,7 @@
 	return false;
 }
 
-/* Adds the verdicts that are held here and don't stand there. */
+/* Adds the verdicts that are in force here but not stored. */
 static unsigned add_verdicts(const struct record_check *r,
 			     const GArray *verdicts_here, struct buf *batch)
 {
@@ -101,8 +104,9 @@
 }
 
 /*
- * Drops verdicts that the copy has and nobody holds any more. One that wasn't here
- * in the era before may only not know them yet.
+ * Deletes stored verdicts that are no longer in force, as a backup may hold
+ * them. An instance that has not seen the previous era skips this, since it may
+ * not have received those verdicts yet.
  */
 static unsigned drop_verdicts(const struct record_check *r,
 			      const GArray *verdicts_here, struct buf *batch)
@@ -123,7 +127,7 @@
 	return n;
 }
 
-/* The listing is whole: writes what is lost. */
+/* Compares the complete listing with what is known, and writes what is lost. */
 static void compare(struct record_check *r, int64_t now_ms)
 {
 	GArray *verdicts_here = crash_watch_verdicts(r->crashes);
@@ -176,7 +180,10 @@
 	}
 	if (r->writing) {
 		r->writing = false;
-		/* What didn't fit, or was lost again, is found missing. */
+		/*
+		 * What didn't fit, or was lost again, is found by the next
+		 * check.
+		 */
 		if (res->end.era == r->store.listing_era && r->complete)
 			r->checked_era = res->end.era;
 		return;
@@ -185,8 +192,8 @@
 }
 
 /*
- * record_check_tick() checks when it is due; `first`: it is this instance's turn.
- * Call it every 0.1 s or so.
+ * record_check_tick() runs a check when due. `first`: it is this instance's
+ * turn. Call it about every 0.1 s.
  */
 void record_check_tick(struct record_check *r, bool first, int64_t now_ms)
 {
@@ -205,7 +212,9 @@
 	store_newest(&r->store, STORE_TOPIC_MEMBERS, LSTR(""));
 }
 
-/* record_check_init() prepares the channel; it connects when needed. */
+/*
+ * record_check_init() initializes the channel; it connects on the first check.
+ */
 void record_check_init(struct record_check *r, struct ev_loop *loop,
 		       struct store_endpoint *store, struct peer_table *peers,
 		       struct crash_watch *crashes)
--- a/control/record_check.h
+++ b/control/record_check.h
@@ -1,9 +1,9 @@
 /*
- * After the store has come back from a copy, the first instance compares what the
- * system itself has written there, the records of its instances and of its
- * quarantines, with what it knows, and writes again what is lost: one listing and at
- * most one write in each era, whatever the number of instances. If it ends meanwhile,
- * the next in rank does so.
+ * Restores the system's own records after the store was restored from a backup.
+ * The first instance compares the stored records of instances and quarantined
+ * requests with what it knows, and writes those that are lost: one listing and
+ * at most one write in each era, whatever the number of instances. If it stops
+ * meanwhile, the next in rank takes over.
  */
 #ifndef MP_CONTROL_RECORD_CHECK_H
 #define MP_CONTROL_RECORD_CHECK_H
@@ -14,14 +14,14 @@
 	struct store_channel store;
 	struct peer_table *peers;
 	struct crash_watch *crashes;
-	GHashTable *boots;    /* instance -> uint64_t *, as its record says */
-	GArray *verdicts;     /* struct crash_news that stand there */
-	bool writing;	      /* the call under way is a write, and */
-	bool complete;	      /* all that was lost fitted it */
-	uint64_t first_era;   /* the one that was known first; 0: none yet */
-	uint64_t checked_era; /* what was written stands there in this era */
-	uint64_t seen_era;    /* the store's, and */
-	int64_t due_ms;	      /* when a check in it is due */
+	GHashTable *boots;    /* instance -> uint64_t *, `boot` of its record */
+	GArray *verdicts;     /* struct crash_news that are stored */
+	bool writing;	      /* the pending call is a write */
+	bool complete;	      /* the batch contains all lost records */
+	uint64_t first_era;   /* known first; 0: none yet */
+	uint64_t checked_era; /* all records are stored in it */
+	uint64_t seen_era;    /* the store's last known era */
+	int64_t due_ms;	      /* when a check in that era is due */
 };
 
 void record_check_init(struct record_check *r, struct ev_loop *loop,
--- a/control/relay.c
+++ b/control/relay.c
@@ -2,8 +2,8 @@
 #include "misc/clock.h"
 
 /*
- * relay_from_peer() passes a message on to the traffic thread; false when it isn't
- * meant for that.
+ * relay_from_peer() forwards a message to the traffic thread. Returns false if
+ * it isn't meant for it.
  */
 bool relay_from_peer(struct control *c, const struct gossip_message *m)
 {
@@ -30,7 +30,10 @@
 	}
 }
 
-/* relay_from_traffic() passes on to the peers what it takes as `data`. */
+/*
+ * relay_from_traffic() sends a message of the traffic thread to the peers;
+ * takes ownership of `data`.
+ */
 void relay_from_traffic(struct control *c, enum from_traffic kind, void *data)
 {
 	uint32_t self = peer_id(c->peers.peers.self.name);
--- a/control/relay.h
+++ b/control/relay.h
@@ -1,7 +1,4 @@
-/*
- * What the traffic threads of instances tell each other: the control thread passes it
- * on as it is, in datagrams.
- */
+/* Forwards messages between the traffic threads of instances as datagrams. */
 #ifndef MP_CONTROL_RELAY_H
 #define MP_CONTROL_RELAY_H
 
--- a/control/start.h
+++ b/control/start.h
@@ -1,7 +1,7 @@
 /*
- * How an instance that has just started comes to know the configuration and
- * the list of backend servers: in a large system from a peer, as the store's
- * calls are dear and limited; from the store when no peer helps in time.
+ * Decides from where a starting instance gets the configuration and the list of
+ * backend servers: in a large system from a peer, since calls to the store are
+ * expensive and limited; from the store if no peer answers in time.
  */
 #ifndef MP_CONTROL_START_H
 #define MP_CONTROL_START_H
@@ -10,16 +10,16 @@
 #include <stdint.h>
 
 struct start_state {
-	bool done;	   /* configuration and list were known: it has ended */
-	bool many;	   /* the system is a large one */
+	bool done;	   /* configuration and list were complete once */
+	bool many;	   /* the system is large */
 	bool first;	   /* the whole system starts for the first time */
 	bool listed;	   /* the members' records were read */
-	int64_t listed_ms; /* when */
-	unsigned ready;	   /* live peers that can serve */
-	unsigned refused;  /* questions to peers that brought nothing */
-	unsigned failures; /* of the calls that read them, in a row */
-	unsigned rank;	   /* instances that stand before this one */
-	int64_t since_ms;  /* the start */
+	int64_t listed_ms; /* when they were read */
+	unsigned ready;	   /* number of live peers that can serve */
+	unsigned refused;  /* failed requests to peers */
+	unsigned failures; /* consecutive failures to read the members */
+	unsigned rank;	   /* number of instances ordered before this one */
+	int64_t since_ms;  /* time of the startup */
 };
 
 bool start_should_read_store(const struct start_state *v, int64_t now_ms);
--- a/tests/backend_lists.h
+++ b/tests/backend_lists.h
@@ -1,4 +1,4 @@
-/* Lists of backend servers whose changes a test looks at. */
+/* Helpers for tests that observe the changes of lists of backend servers. */
 #ifndef MP_TESTS_BACKEND_LISTS_H
 #define MP_TESTS_BACKEND_LISTS_H
 
--- a/tests/scripted_store.h
+++ b/tests/scripted_store.h
@@ -1,4 +1,4 @@
-/* A store on loopback that gives the answers that a test hands it, in their order. */
+/* A store on loopback that sends the answers queued by a test, in order. */
 #ifndef MP_TESTS_SCRIPTED_STORE_H
 #define MP_TESTS_SCRIPTED_STORE_H
 
@@ -12,7 +12,7 @@
 
 struct scripted_answer {
 	unsigned status;
-	const char *era; /* as the header has it; NULL: no header */
+	const char *era; /* value of the header; NULL: no header */
 	struct buf body;
 };
 
@@ -20,10 +20,11 @@
 	struct ev_loop *loop;
 	struct http_server server;
 	struct store_endpoint endpoint;
-	GQueue answers;		/* struct scripted_answer *; none: holds */
-	struct http_conn *held; /* its request waits for an answer */
-	char target[256];	/* of the last request */
-	struct buf body;	/* of the last one that had any */
+	GQueue answers; /* struct scripted_answer *; if empty, requests wait */
+	struct http_conn
+		*held;	  /* connection whose request waits for an answer */
+	char target[256]; /* of the last request */
+	struct buf body;  /* of the last request that had one */
 	unsigned requests;
 };
 
@@ -67,7 +68,7 @@
 	((struct scripted_store *)priv)->held = NULL;
 }
 
-/* Adds an answer; takes the body's memory. */
+/* Queues an answer; takes ownership of the body. */
 static inline void scripted_answer(struct scripted_store *s, unsigned status,
 				   const char *era, struct buf body)
 {
@@ -106,7 +107,9 @@
 	g_free(s);
 }
 
-/* A page of a listing without values; keys as one text, a letter each. */
+/*
+ * Encodes a page of a listing without values; each letter of `keys` is a key.
+ */
 static inline struct buf scripted_page(const char *keys, uint64_t end,
 				       bool more)
 {
@@ -138,7 +141,7 @@
 	return out;
 }
 
-/* The answer of a read that brought no record. */
+/* Encodes the answer of a read that returns no records. */
 static inline struct buf scripted_no_records(void)
 {
 	static const char offsets[16];
--- a/tests/test_backend_histories.c
+++ b/tests/test_backend_histories.c
@@ -1,6 +1,7 @@
 /*
- * Seeded histories of a store that comes back from copies: lists that read or are fed,
- * with feeds lost, end with what is true of each server.
+ * Randomized test of a store that is restored from backups: lists that read the
+ * store or are fed, with some feeds lost, must all end with the true state of
+ * each server.
  */
 #include "tests/unit.h"
 
@@ -8,13 +9,13 @@
 
 enum { HISTORIES = 200, STEPS = 400, INSTANCES = 4, IDS = 6 };
 
-/* A store that comes back from copies, and the servers that write to it. */
+/* A store that is restored from backups, and the servers that write to it. */
 struct simulation {
-	GArray *log, *backup; /* struct backend_change, at their offsets */
+	GArray *log, *backup; /* struct backend_change, indexed by offset */
 	uint64_t era;
-	struct backend_change truth[IDS]; /* the last word of each server */
-	int64_t write_ms[IDS]; /* it writes again then; 0: it needn't */
-	GArray *expiries;      /* struct backend_change, at their lapse */
+	struct backend_change truth[IDS]; /* the last state of each server */
+	int64_t write_ms[IDS]; /* time of its next write; 0: none needed */
+	GArray *expiries;      /* struct backend_change; offset is the time */
 	struct backend_list lists[INSTANCES];
 	struct seen seen[INSTANCES];
 	GRand *rand;
@@ -30,7 +31,9 @@
 	w->write_ms[i] = 0;
 }
 
-/* A server goes on in its life; one that has left is followed by another. */
+/*
+ * Advances a server to its next state; a removed one is replaced by a new one.
+ */
 static void advance_server(struct simulation *w, int i)
 {
 	struct backend_change *c = &w->truth[i];
@@ -38,7 +41,7 @@
 
 	c->entry.sequence++;
 	if (c->removed && w->write_ms[i]) {
-		/* Its lost removal is made good by the lease's end. */
+		/* The expiry of its lease replaces the lost removal. */
 		c->pos.offset = (uint64_t)w->now + 4500;
 		g_array_append_val(w->expiries, *c);
 	}
@@ -55,7 +58,7 @@
 	write_truth(w, i);
 }
 
-/* Whether the log's last word of a server is its own last word. */
+/* Returns whether the log's last record of a server is its last state. */
 static bool is_written(const struct simulation *w, int i)
 {
 	for (guint k = w->log->len; k > 0; k--) {
@@ -69,7 +72,7 @@
 	return w->truth[i].removed;
 }
 
-/* The entries of those that are gone lapse once more. */
+/* Schedules the expiry of entries whose servers are gone. */
 static void schedule_expiries(struct simulation *w)
 {
 	g_array_set_size(w->expiries, 0);
@@ -119,7 +122,7 @@
 	}
 }
 
-/* The newest record of each key that has a value, as a listing has them. */
+/* Lists the newest record of each key that has a value. */
 static void read_listing(struct simulation *w, struct backend_list *l)
 {
 	backend_list_replace_begin(l, w->era, w->now);
@@ -210,13 +213,14 @@
 
 			n += !c->removed;
 			if (strcmp(known, truth))
-				fail_msg("seed %u: instance %d has %s %s, in "
-					 "truth %s",
+				fail_msg("seed %u: instance %d has server %s "
+					 "as %s, expected %s",
 					 seed, i, c->entry.id, known, truth);
 		}
-		/* Nor does anybody hold one of an earlier life. */
+		/* Entries of replaced servers must be gone too. */
 		if (g_hash_table_size(w->seen[i].ids) != n)
-			fail_msg("seed %u: instance %d has %u servers of %u",
+			fail_msg("seed %u: instance %d has %u servers, "
+				 "expected %u",
 				 seed, i, g_hash_table_size(w->seen[i].ids), n);
 	}
 }
@@ -239,7 +243,9 @@
 	}
 	for (int i = 0; i < STEPS; i++)
 		simulation_step(&w);
-	/* All that was lost is written again, and what is missing settles. */
+	/*
+	 * All lost records are written again, and deferred changes are applied.
+	 */
 	for (int i = 0; i < IDS; i++) {
 		if (w.write_ms[i])
 			write_truth(&w, i);
--- a/tests/test_backend_list.c
+++ b/tests/test_backend_list.c
@@ -1,7 +1,7 @@
 /*
- * Tests of control/backend_list: records, feeds with gaps and repeats, the
- * time in which lapsed entries may come back, who reads when; and seeded
- * histories in which instances that read or are fed end with one list.
+ * Tests of control/backend_list: records, feeds with gaps and repeats, grace
+ * periods for expired entries and the schedule of reads; and randomized
+ * histories after which instances that read or are fed must have equal lists.
  */
 #include "tests/unit.h"
 
@@ -18,14 +18,17 @@
 	assert_string_equal(state_of(&s, "a"), "ready");
 	record(&l, 11, "a", "draining", 1000);
 	assert_string_equal(state_of(&s, "a"), "draining");
-	/* An older record of the same entry is passed over. */
+	/* An older record of the same entry is ignored. */
 	record(&l, 9, "a", "ready", 1000);
 	assert_string_equal(state_of(&s, "a"), "draining");
 	record(&l, 12, "a", "gone", 1000);
 	assert_string_equal(state_of(&s, "a"), "gone");
 }
 
-/* Entries that lapsed while the store was away have two seconds. */
+/*
+ * Entries that expired during an outage of the store have two seconds to
+ * return.
+ */
 static void test_expired_entries_return(void **state)
 {
 	struct backend_list l;
@@ -36,7 +39,7 @@
 	record(&l, 0, "a", "ready", 1000);
 	record(&l, 1, "b", "ready", 1000);
 	backend_list_advance(&l, at(2), 1000, 1000);
-	/* The store is away from 1 s to 8 s; both leases run out. */
+	/* The store is away from 1 s to 8 s, and both leases expire. */
 	backend_list_read_begin(&l, 8000);
 	record(&l, 2, "a", "gone", 8000);
 	record(&l, 3, "b", "gone", 8000);
@@ -49,13 +52,13 @@
 	backend_list_apply_deferred(&l, 10300);
 	assert_string_equal(state_of(&s, "a"), "ready");
 	assert_string_equal(state_of(&s, "b"), "gone");
-	/* Draining is taken in at once even then. */
+	/* Draining takes effect at once even then. */
 	backend_list_read_begin(&l, 20000);
 	record(&l, 5, "a", "draining", 20000);
 	assert_string_equal(state_of(&s, "a"), "draining");
 }
 
-/* In quiet times a removal counts at once. */
+/* Without an outage a removal takes effect at once. */
 static void test_removal_without_silence(void **state)
 {
 	struct backend_list l;
@@ -81,7 +84,7 @@
 	backend_list_apply_record(l, &c, now);
 }
 
-/* Records that come late, of an earlier start or an earlier word, say nothing. */
+/* Late records of an earlier start or with a lower sequence are ignored. */
 static void test_stale_records(void **state)
 {
 	struct backend_list l;
@@ -92,23 +95,23 @@
 	write_entry(&l, 1, 5000, 8, "draining", 1000);
 	write_entry(&l, 2, 5000, 7, "ready", 1010);
 	assert_string_equal(state_of(&s, "i-1"), "draining");
-	/* It starts again: its count begins anew, and its state. */
+	/* After a restart the sequence begins anew, and so does the state. */
 	write_entry(&l, 3, 9000, 0, "ready", 1020);
 	assert_string_equal(state_of(&s, "i-1"), "ready");
 	write_entry(&l, 4, 5000, 9, "draining", 1030);
 	assert_string_equal(state_of(&s, "i-1"), "ready");
-	/* Nor do they bring back one that has left. */
+	/* Late records don't bring back a removed server. */
 	record(&l, 5, "i-1", "gone", 1040);
 	assert_string_equal(state_of(&s, "i-1"), "gone");
 	write_entry(&l, 6, 5000, 9, "ready", 1050);
 	assert_string_equal(state_of(&s, "i-1"), "gone");
-	/* Its next word, or its next start, does. */
+	/* A higher sequence or a later start does. */
 	write_entry(&l, 7, 9000, 1, "ready", 1060);
 	assert_string_equal(state_of(&s, "i-1"), "ready");
 	record(&l, 8, "i-1", "gone", 1070);
 	write_entry(&l, 9, 9500, 0, "ready", 1080);
 	assert_string_equal(state_of(&s, "i-1"), "ready");
-	/* Of one that tells no start the last record counts. */
+	/* Of a server without a start time the last record counts. */
 	record(&l, 10, "i-2", "draining", 1090);
 	record(&l, 11, "i-2", "ready", 1100);
 	assert_string_equal(state_of(&s, "i-2"), "ready");
@@ -122,7 +125,7 @@
 	init(&reader, &rs);
 	init(&fed, &fs);
 	read_empty_listing(&reader, 0, 1000);
-	/* One that knows nothing must list by itself. */
+	/* An instance without a list must read a listing itself. */
 	send_feed(&reader, &fed, false, 1000);
 	read_empty_listing(&fed, 0, 1000);
 	record(&reader, 0, "a", "ready", 1400);
@@ -131,7 +134,7 @@
 	assert_string_equal(state_of(&fs, "a"), "ready");
 	assert_int_equal(fed.pos.offset, 5);
 	assert_int_equal(fed.fresh_ms, 1400);
-	/* The next feed is lost; the one after it still covers both. */
+	/* This feed is lost; the next one covers it. */
 	record(&reader, 5, "b", "ready", 1900);
 	backend_list_advance(&reader, at(9), 1900, 1900);
 	record(&reader, 9, "a", "draining", 2400);
@@ -139,9 +142,11 @@
 	send_feed(&reader, &fed, true, 2400);
 	assert_string_equal(state_of(&fs, "b"), "ready");
 	assert_string_equal(state_of(&fs, "a"), "draining");
-	/* A feed that comes twice or late changes nothing. */
+	/* A repeated or late feed changes nothing. */
 	send_feed(&reader, &fed, true, 2410);
-	/* After a long silence the covered changes are too new. */
+	/*
+	 * After a long silence the changes covered by the feed begin too late.
+	 */
 	record(&reader, 12, "c", "ready", 2900);
 	backend_list_advance(&reader, at(14), 2900, 2900);
 	backend_list_advance(&reader, at(30), 6000, 6000);
@@ -149,10 +154,7 @@
 	assert_string_equal(state_of(&fs, "c"), "gone");
 }
 
-/*
- * Removals that a reader holds back reach its peers as held back, whether
- * the entry returns or not.
- */
+/* Deferred removals are fed as deferred, whether the entry returns or not. */
 static void test_deferred_removal_is_fed(void **state)
 {
 	struct backend_list reader, fed;
@@ -170,7 +172,7 @@
 	record(&reader, 2, "a", "gone", 9000);
 	record(&reader, 3, "b", "gone", 9000);
 	backend_list_advance(&reader, at(4), 9000, 9000);
-	/* The fed one heard of the outage by nothing else. */
+	/* The fed instance did not notice the outage. */
 	fed.fresh_ms = 8900;
 	send_feed(&reader, &fed, true, 9010);
 	assert_string_equal(state_of(&fs, "a"), "ready");
@@ -185,7 +187,7 @@
 	assert_string_equal(state_of(&rs, "b"), "ready");
 }
 
-/* A peer's whole list stands in for one of the store; records follow it. */
+/* A peer's full list replaces a listing of the store; records follow it. */
 static void test_import(void **state)
 {
 	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
@@ -213,10 +215,7 @@
 	g_array_unref(all);
 }
 
-/*
- * A peer's list that is older than what is known here: it takes nothing away
- * and changes nothing back.
- */
+/* A peer's older list neither removes nor reverts anything. */
 static void test_import_stale(void **state)
 {
 	struct backend_list l, old;
@@ -246,7 +245,9 @@
 
 static void test_read_due(void **state)
 {
-	/* The first reads twice a second; others when nobody did. */
+	/*
+	 * The first rank reads twice a second; others take over if nobody does.
+	 */
 	assert_in_range(backend_list_next_read_ms(0, false, 1000, 0, 0), 1400,
 			1500);
 	int64_t last = 0;
@@ -256,18 +257,18 @@
 			backend_list_next_read_ms(rank, rank % 2, 1000, 0, 0);
 
 		assert_true(due >= last && due > 1500);
-		/* Room to read and act within two seconds. */
+		/* Leaves time to read and act within two seconds. */
 		assert_true(due <= 2400);
 		last = due;
 	}
-	/* Failures: later, but within a second. */
+	/* Retries are delayed, but by less than a second. */
 	assert_in_range(backend_list_next_read_ms(0, true, 0, 5000, 1), 5100,
 			5300);
 	assert_in_range(backend_list_next_read_ms(0, true, 0, 5000, 50), 5500,
 			6000);
 	assert_in_range(backend_list_next_read_ms(100, false, 0, 5000, 50),
 			5500, 6000);
-	/* In a large system those behind the hubs are in less of a hurry. */
+	/* In a large system the instances behind the hubs retry less often. */
 	assert_in_range(backend_list_next_read_ms(100, true, 0, 5000, 1), 5100,
 			5300);
 	assert_in_range(backend_list_next_read_ms(100, true, 0, 5000, 50), 7000,
@@ -276,9 +277,9 @@
 
 enum { RUNS = 60, STEPS = 400, INSTANCES = 4, IDS = 6 };
 
-/* The log of a seeded history and the instances that follow it. */
+/* The log of a randomized history and the instances that follow it. */
 struct simulation {
-	GArray *log; /* struct backend_change, at its offset */
+	GArray *log; /* struct backend_change, indexed by offset */
 	struct backend_list lists[INSTANCES];
 	struct seen seen[INSTANCES];
 	GRand *rand;
@@ -296,7 +297,7 @@
 	g_array_append_val(w->log, c);
 }
 
-/* Instance i reads from the log and feeds the others; datagrams get lost. */
+/* Instance i reads the log and feeds the others; some datagrams are lost. */
 static void simulation_read(struct simulation *w, int i)
 {
 	struct backend_list *l = &w->lists[i];
@@ -312,7 +313,7 @@
 		if (k == i || g_rand_int_range(w->rand, 0, 4) == 0)
 			continue;
 		backend_list_build_feed(l, &f, w->now);
-		/* A gap is made good by the instance's own read, later. */
+		/* The instance's own read fills a gap later. */
 		(void)backend_list_apply_feed(&w->lists[k], &f, w->now);
 	}
 }
@@ -329,7 +330,7 @@
 	for (int i = 0; i < STEPS; i++) {
 		w.now += g_rand_int_range(w.rand, 1, 300);
 		if (g_rand_int_range(w.rand, 0, 40) == 0)
-			w.now += 5000; /* the store was away */
+			w.now += 5000; /* outage of the store */
 		if (g_rand_int_range(w.rand, 0, 3))
 			simulation_write(&w);
 		else
@@ -358,8 +359,8 @@
 		for (int i = 0; i < INSTANCES; i++) {
 			backend_list_apply_deferred(&w.lists[i], w.now);
 			if (strcmp(state_of(&w.seen[i], id), truth))
-				fail_msg("seed %u: instance %d has %s %s, "
-					 "the log %s",
+				fail_msg("seed %u: instance %d has server %s "
+					 "as %s, expected %s",
 					 seed, i, id, state_of(&w.seen[i], id),
 					 truth);
 		}
--- a/tests/test_backend_restore.c
+++ b/tests/test_backend_restore.c
@@ -1,12 +1,12 @@
 /*
- * Tests of control/backend_list when the store comes back from a copy: what the copy
- * has or lacks, and feeds into the new era.
+ * Tests of control/backend_list after the store was restored from a backup:
+ * entries that the backup contains or lacks, and feeds into the new era.
  */
 #include "tests/unit.h"
 
 #include "tests/backend_lists.h"
 
-/* An entry with its word, as it stands in an era. */
+/* Applies an entry with a sequence number at a position of some era. */
 static void write_entry(struct backend_list *l, struct store_position pos,
 			const char *id, uint64_t sequence, const char *what,
 			int64_t now)
@@ -19,7 +19,10 @@
 	backend_list_apply_record(l, &c, now);
 }
 
-/* A list with a and b, the first 8 records of era 1 taken in at 1,000 ms. */
+/*
+ * Initializes a list with a and b that has applied the first 8 records of era 1
+ * at 1,000 ms.
+ */
 static void begin_two_entries(struct backend_list *l, struct seen *s)
 {
 	init(l, s);
@@ -29,7 +32,7 @@
 	backend_list_advance(l, in_era(1, 8), 1000, 1000);
 }
 
-/* The copy is read by one that missed what another knows. */
+/* Applies the backup's listing to a list that hasn't seen a drain. */
 static void list_restored(struct backend_list *l)
 {
 	backend_list_replace_begin(l, 2, 1500);
@@ -51,14 +54,17 @@
 	write_entry(&l, in_era(2, 1), "b", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 2), 1500, 1500);
 	assert_string_equal(state_of(&s, "b"), "gone");
-	/* Its removal is written again. */
+	/* The removal is written again. */
 	write_entry(&l, in_era(2, 2), "b", 0, "gone", 2500);
 	backend_list_apply_deferred(&l, 60000);
 	assert_string_equal(state_of(&s, "b"), "gone");
 	assert_string_equal(state_of(&s, "a"), "ready");
 }
 
-/* It lapsed and came back in the lost seconds: nobody removes it again. */
+/*
+ * The server's lease expired and it returned, both after the backup, so its
+ * removal is not written again.
+ */
 static void test_unconfirmed_server_returns_unless_removed(void **state)
 {
 	struct backend_list l;
@@ -72,7 +78,7 @@
 	write_entry(&l, in_era(2, 0), "a", 1, "ready", 1500);
 	write_entry(&l, in_era(2, 1), "b", 2, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 2), 1500, 1500);
-	/* A later word than its last proves it. */
+	/* An entry newer than the last one known proves that it is running. */
 	assert_string_equal(state_of(&s, "b"), "ready");
 	assert_string_equal(state_of(&s, "a"), "gone");
 	backend_list_apply_deferred(&l, 5000);
@@ -103,7 +109,10 @@
 	assert_string_equal(state_of(&s, "d"), "gone");
 }
 
-/* It lapsed before the copy and was back after it, or has left since. */
+/*
+ * A removal in the backup may precede the server's return, so only a removal
+ * after the backup counts.
+ */
 static void test_earlier_removal_in_backup_is_ignored(void **state)
 {
 	struct backend_change gone = change(0, "c", "gone");
@@ -136,14 +145,14 @@
 	write_entry(&l, in_era(2, 1), "b", 1, "ready", 1500);
 	backend_list_replace_end(&l, in_era(2, 2), 1500, 1500);
 	assert_string_equal(state_of(&s, "a"), "draining");
-	/* And what is said in the new era counts at once. */
+	/* Records of the new era apply at once. */
 	write_entry(&l, in_era(2, 2), "b", 2, "draining", 1600);
 	assert_string_equal(state_of(&s, "b"), "draining");
 	write_entry(&l, in_era(2, 3), "a", 3, "gone", 1600);
 	assert_string_equal(state_of(&s, "a"), "gone");
 }
 
-/* Its reader may end before the doubt does. */
+/* The instance that read the backup may stop before the entry is confirmed. */
 static void test_unconfirmed_entry_is_fed(void **state)
 {
 	struct backend_list reader, fed;
@@ -161,7 +170,10 @@
 	assert_string_equal(state_of(&fs, "b"), "ready");
 }
 
-/* A listing comes by key; a feed of several datagrams needs the log's order. */
+/*
+ * A listing is ordered by key, but a feed of several datagrams must be in log
+ * order.
+ */
 static void test_feed_after_restore_is_ordered(void **state)
 {
 	struct backend_feed f;
@@ -186,7 +198,7 @@
 					    .pos) <= 0);
 }
 
-/* Words of a server that doesn't tell its start have an order there as well. */
+/* Entries without a start time are ordered by sequence number as well. */
 static void test_draining_without_start_time_is_kept(void **state)
 {
 	struct backend_change c = change(0, "a", "draining");
@@ -207,7 +219,7 @@
 	assert_string_equal(state_of(&s, "a"), "draining");
 }
 
-/* A record that is known to its reader from the old era is news to others. */
+/* A record that its reader knows from the old era is new to other instances. */
 static void test_known_record_is_fed_in_new_era(void **state)
 {
 	struct backend_list reader, knows, lists;
@@ -221,7 +233,7 @@
 	list_restored(&reader);
 	send_feed(&reader, &knows, true, 1510);
 	list_restored(&lists);
-	/* Whether it has taken over the new era by a feed or by a listing. */
+	/* Whether the reader entered the new era by a feed or by a listing. */
 	write_entry(&knows, in_era(2, 2), "a", 2, "draining", 1600);
 	backend_list_advance(&knows, in_era(2, 3), 1600, 1600);
 	send_feed(&knows, &reader, true, 1610);
@@ -234,7 +246,7 @@
 	assert_string_equal(state_of(&rs, "a"), "draining");
 }
 
-/* Leases of the copy run out together before their servers can write. */
+/* Leases of the backup expire together before their servers can write. */
 static void test_expiry_of_most_after_restore_is_deferred(void **state)
 {
 	struct backend_list l;
@@ -260,7 +272,9 @@
 	assert_string_equal(state_of(&s, "c"), "gone");
 }
 
-/* One that reads the new log feeds those that are still in the old one. */
+/*
+ * An instance that reads the new log feeds those that are still in the old era.
+ */
 static void test_feed_into_new_era(void **state)
 {
 	struct backend_list reader, fed;
@@ -270,7 +284,7 @@
 	begin_two_entries(&fed, &fs);
 	write_entry(&reader, in_era(1, 8), "c", 1, "ready", 1100);
 	backend_list_advance(&reader, in_era(1, 9), 1100, 1100);
-	/* The fed one misses that feed; the next covers it and the rise. */
+	/* This feed is lost; the next one covers it and the new era. */
 	backend_list_replace_begin(&reader, 2, 1500);
 	write_entry(&reader, in_era(2, 5), "d", 1, "ready", 1500);
 	write_entry(&reader, in_era(2, 0), "a", 1, "ready", 1500);
@@ -280,7 +294,7 @@
 	assert_string_equal(state_of(&fs, "c"), "ready");
 	assert_string_equal(state_of(&fs, "d"), "ready");
 	assert_string_equal(state_of(&fs, "b"), "ready");
-	/* c writes again, b doesn't; the old era has nothing to say. */
+	/* c writes again, b doesn't; feeds of the old era are ignored. */
 	write_entry(&reader, in_era(2, 6), "c", 2, "ready", 2000);
 	backend_list_advance(&reader, in_era(2, 7), 2000, 2000);
 	send_feed(&reader, &fed, true, 2010);
--- a/tests/test_backend_watch.c
+++ b/tests/test_backend_watch.c
@@ -1,6 +1,6 @@
 /*
- * Tests of control/backend_watch: what counts as a sign of the store. Its
- * answers are handed in; no store runs here.
+ * Tests of control/backend_watch: which events count as an answer of the store.
+ * Results are passed in directly; no store runs.
  */
 #include "tests/unit.h"
 
@@ -28,7 +28,7 @@
 			    on_read_done, NULL);
 }
 
-/* The store answers a whole listing that was sent at `sent_ms`. */
+/* The store answers a request for a full listing that was sent at `sent_ms`. */
 static void answer_listing(struct backend_watch *w, int64_t sent_ms)
 {
 	struct store_result r = {.end = {0, 10}};
@@ -39,12 +39,13 @@
 }
 
 /*
- * Two instances polled for the configuration, and both were cut off from the
- * store, silently. Another one read the list of servers and fed them, so each
- * went on to say that it knew of nothing newer as of just now. No other polled,
- * and a version was in force 3 s after its confirmation, not 2.5 (102
- * instances; the pollers' own lines 300 came at 3.9 and 4.2 s, the version had
- * been confirmed at 2.7 s, and their polls ended at 4.9 and 5.4 s).
+ * Guards against feeds being counted as answers of the store. Two instances
+ * polled for the configuration and were cut off from the store without an
+ * error. Another one read the list of servers and fed it to them, so each kept
+ * reporting its configuration as confirmed just now. No other instance polled,
+ * and a version was in force 3 s after its confirmation instead of 2.5 s (102
+ * instances; event 300 was logged by the pollers at 3.9 and 4.2 s, the version
+ * was confirmed at 2.7 s, and the polls ended at 4.9 and 5.4 s).
  */
 static void test_feed_is_no_store_answer(void **state)
 {
@@ -57,7 +58,7 @@
 
 	begin(&w);
 	answer_listing(&w, now_ms - 2000);
-	/* Its poll waits for an answer that never comes. */
+	/* The poll waits for an answer that never comes. */
 	config.store.call = STORE_READ;
 	config.call_sent_ms = now_ms - 2100;
 	feed.changes = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
@@ -65,14 +66,14 @@
 	assert_int_equal(w.list.fresh_ms, now_ms);
 	assert_int_equal(config_watch_age_ms(&config, w.answered_ms, now_ms),
 			 2000);
-	/* An answer to itself is one. */
+	/* An answer of the store to this instance does count. */
 	answer_listing(&w, now_ms - 100);
 	assert_int_equal(config_watch_age_ms(&config, w.answered_ms, now_ms),
 			 100);
 	g_array_unref(feed.changes);
 }
 
-/* A call that fails is none. */
+/* A failed call does not count. */
 static void test_failure_is_no_store_answer(void **state)
 {
 	struct store_result failed = {.err = -ETIMEDOUT};
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -1,6 +1,6 @@
 /*
- * Tests of control/config_watch: what an instance makes of what its peers say
- * of the configuration. No store answers here; its calls are not played.
+ * Tests of control/config_watch: how an instance handles its peers' reports of
+ * the configuration. No store runs, and calls get no answers.
  */
 #include "tests/unit.h"
 
@@ -11,7 +11,7 @@
 static unsigned applied;
 static struct store_endpoint store;
 
-/* What a peer says that knows the records before `offset`, of age_ms ago. */
+/* The report of a peer that knew the records before `offset` age_ms ago. */
 static struct config_mark mark(uint64_t version, uint64_t offset,
 			       uint32_t age_ms)
 {
@@ -41,7 +41,7 @@
 	config_unref(c);
 }
 
-/* A record is its version's number as text. */
+/* Decodes a record, which is the version number as text. */
 static struct config *decode(void *priv, struct lstr value, struct findings *f)
 {
 	struct config *c = config_new();
@@ -50,7 +50,10 @@
 	return c;
 }
 
-/* An instance that has read the records before `offset` and holds `record`. */
+/*
+ * Initializes an instance that has read the records before `offset` and whose
+ * current version is `record`.
+ */
 static void init(struct config_watch *w, const char *record, uint64_t offset)
 {
 	memset(w, 0, sizeof(*w));
@@ -70,17 +73,21 @@
 	struct config_watch w;
 
 	init(&w, "5", 10);
-	/* A peer that knows as much: there was nothing newer 300 ms ago. */
+	/*
+	 * A peer that knows as much confirms that nothing was newer 300 ms ago.
+	 */
 	assert_int_equal(receive_mark(&w, 5, 10, 300, 10000), CONFIG_NO_ACTION);
 	assert_int_equal(config_watch_age_ms(&w, 0, 10100), 400);
-	/* Older news doesn't make it older, nor does one that knows less. */
+	/*
+	 * Neither an older report nor a peer that knows less changes the age.
+	 */
 	assert_int_equal(receive_mark(&w, 5, 10, 2000, 10100),
 			 CONFIG_NO_ACTION);
 	assert_int_equal(receive_mark(&w, 5, 9, 0, 10200), CONFIG_NO_ACTION);
 	assert_int_equal(config_watch_age_ms(&w, 0, 10200), 500);
-	/* One that knows more. */
+	/* A peer that knows more. */
 	assert_int_equal(receive_mark(&w, 6, 12, 0, 10300), CONFIG_READ_STORE);
-	/* While nothing is known yet the start decides. */
+	/* Before the first read, the startup decides what to do. */
 	w.listed = false;
 	assert_int_equal(receive_mark(&w, 6, 12, 0, 10300), CONFIG_NO_ACTION);
 	buf_free(&w.record);
@@ -96,14 +103,17 @@
 	assert_int_equal(applied, 1);
 	assert_int_equal(w.version, 7);
 	assert_int_equal(w.pos.offset, 12);
-	/* A repeat, and a record that was unfit: the newest stays. */
+	/* After a repeat or an invalid record the newest version stays. */
 	assert_int_equal(config_watch_apply_peer(&w, LSTR("7"), at(12), 10000),
 			 0);
 	assert_int_equal(config_watch_apply_peer(&w, LSTR("7"), at(13), 10100),
 			 0);
 	assert_int_equal(applied, 1);
 	assert_int_equal(w.pos.offset, 13);
-	/* A peer with an older version can't be right: the store decides. */
+	/*
+	 * A later record with an older version is inconsistent, so the store is
+	 * read.
+	 */
 	assert_int_equal(config_watch_apply_peer(&w, LSTR("6"), at(14), 10200),
 			 -ESTALE);
 	assert_int_equal(applied, 1);
@@ -111,7 +121,7 @@
 	buf_free(&w.record);
 }
 
-/* A failed read waits before the next; a peer's news end that. */
+/* A peer's report ends the pause after a failed read. */
 static void test_peer_mark_after_failure(void **state)
 {
 	struct config_watch w;
@@ -127,7 +137,7 @@
 	assert_int_equal(receive_mark(&w, 6, 11, 300, 10000),
 			 CONFIG_READ_STORE);
 	assert_false(ev_is_active(&w.retry));
-	/* The pause after a version is kept. */
+	/* The pause after a version isn't shortened. */
 	ev_timer_start(w.loop, &w.retry);
 	w.failures = 0;
 	assert_int_equal(receive_mark(&w, 6, 12, 300, 10000), CONFIG_NO_ACTION);
@@ -136,8 +146,8 @@
 }
 
 /*
- * A peer tells of a record again and again while its bytes arrive slowly: the
- * call that brings it is not broken off. One that was lost is.
+ * A call whose answer arrives slowly is not cancelled, although a peer reports
+ * the record again and again. A call whose answer is lost is.
  */
 static void test_slow_answer(void **state)
 {
@@ -146,19 +156,19 @@
 	init(&w, "5", 10);
 	w.loop = ev_default_loop(0);
 	ev_init(&w.retry, NULL);
-	/* The poll was sent before; its answer may be on the way. */
+	/* The poll was sent before the report; its answer may be in transit. */
 	w.store.call = STORE_READ;
 	w.call_sent_ms = 9000;
 	for (int64_t now = 10000; now <= 10700; now += 100)
 		assert_int_equal(receive_mark(&w, 6, 12, 0, now),
 				 CONFIG_NO_ACTION);
 	assert_int_equal(w.store.call, STORE_READ);
-	/* It doesn't come: asked anew on another connection. */
+	/* No answer came: the read is repeated on another connection. */
 	assert_int_equal(receive_mark(&w, 6, 12, 0, 10800), CONFIG_NO_ACTION);
 	assert_int_equal(w.store.call, STORE_NO_CALL);
 	assert_true(ev_is_active(&w.retry));
 	ev_timer_stop(w.loop, &w.retry);
-	/* This one is from after the news, and takes two seconds. */
+	/* This call was sent after the report, and takes two seconds. */
 	w.store.call = STORE_READ;
 	w.call_sent_ms = 10800;
 	for (int64_t now = 10900; now <= 12900; now += 100)
@@ -168,7 +178,7 @@
 	buf_free(&w.record);
 }
 
-/* While a poll waits, the store's other answers vouch for it, for a time. */
+/* While a poll waits, other answers of the store confirm it for some time. */
 static void test_age_of_poll(void **state)
 {
 	struct config_watch w;
@@ -196,9 +206,9 @@
 }
 
 /*
- * Whoever is told of a version at once is told by the offset behind it. It was
- * the one before: 16 instances had a version 0.48 s after the one that polled,
- * and one of them once 2.05 s after its confirmation (2 s are allowed).
+ * Guards against announcing a version with the position before it. Peers then
+ * saw nothing new: 16 instances applied a version 0.48 s after the polling one,
+ * and once one of them did so 2.05 s after its confirmation (the limit is 2 s).
  */
 static void test_offset_at_change(void **state)
 {
@@ -219,7 +229,9 @@
 	buf_free(&w.record);
 }
 
-/* The store is back from a copy, and the instance has heard so. */
+/*
+ * The store was restored from a backup, and the instance has learned its era.
+ */
 static void raise_era(struct config_watch *w, uint64_t era)
 {
 	store.era = era;
@@ -232,18 +244,22 @@
 	return 0;
 }
 
-/* A version that is confirmed again stands below what was read of the old log. */
+/*
+ * A version confirmed again has a lower offset than the old log's last record.
+ */
 static void test_version_before_old_position(void **state)
 {
 	struct config_watch w;
 
 	init(&w, "19", 7);
 	raise_era(&w, 1);
-	/* Peers that know no more have a bookmark in the new log. */
+	/* Peers that know no more provide a position in the new log. */
 	assert_int_equal(receive_mark(&w, 19, 4, 10, 20100), CONFIG_NO_ACTION);
 	assert_int_equal(w.pos.offset, 4);
 	assert_int_equal(receive_mark(&w, 21, 5, 10, 20200), CONFIG_READ_STORE);
-	/* Without one the peer is asked, as it is when the store hasn't it. */
+	/*
+	 * Without one, the peer is asked, as if the store lacked the version.
+	 */
 	w.pos = (struct store_position){0, 7};
 	assert_int_equal(receive_mark(&w, 21, 5, 10, 20200), CONFIG_ASK_PEER);
 	assert_int_equal(config_watch_apply_peer(&w, LSTR("21"), at(5), 20200),
@@ -253,7 +269,7 @@
 	buf_free(&w.record);
 }
 
-/* A peer that still lives in the old era knows a version that the copy lacks. */
+/* A peer that is still in the old era has a version that the backup lacks. */
 static void test_version_missing_from_backup(void **state)
 {
 	struct config_watch w;
@@ -270,7 +286,7 @@
 		config_watch_apply_peer(&w, LSTR("21"), old.pos, 20200), 0);
 	assert_int_equal(w.version, 21);
 	assert_false(config_watch_is_behind(&w));
-	/* Its bookmark marks nothing any more. */
+	/* Its position isn't valid any more. */
 	assert_int_equal(store_position_cmp(w.pos, at(4)), 0);
 	buf_free(&w.record);
 }
@@ -306,14 +322,14 @@
 	answer(&w, 3, "19");
 	assert_int_equal(w.version, 21);
 	assert_int_equal(applied, 1);
-	/* What follows is read from the copy's end on. */
+	/* Reading continues at the end of the backup. */
 	assert_int_equal(store_position_cmp(w.pos, at(4)), 0);
 	answer(&w, 4, "25");
 	assert_int_equal(w.version, 25);
 	buf_free(&w.record);
 }
 
-/* Of two contents under one number the one that stands later counts. */
+/* Of two records with the same version number the later one counts. */
 static void test_same_version_other_content(void **state)
 {
 	struct config_mark m;
@@ -327,7 +343,7 @@
 	answer(&w, 2, "21 b");
 	assert_int_equal(applied, 2);
 	assert_true(lstr_eq(buf_lstr(&w.record), LSTR("21 b")));
-	/* Peers learn of it by the record's digest. */
+	/* Peers detect it by the record's digest. */
 	m = config_watch_mark(&w, 0, 20100);
 	buf_free(&w.record);
 	init(&w, "21", 1);
@@ -347,13 +363,13 @@
 	init(&w, "5", 10);
 	w.fresh_ms = 19990;
 	assert_int_equal(config_watch_age_ms(&w, 0, 20000), 10);
-	/* A poll that waits vouches for nothing any more either. */
+	/* A waiting poll doesn't confirm it any more either. */
 	w.store.call = STORE_READ;
 	w.call_sent_ms = 19990;
 	raise_era(&w, 1);
 	assert_int_equal(w.store.call, STORE_NO_CALL);
 	assert_int_equal(config_watch_age_ms(&w, 19999, 20000), AGE_UNKNOWN);
-	/* Nor does a peer that still lives in the old era. */
+	/* Nor does a peer that is still in the old era. */
 	assert_int_equal(config_watch_on_mark(&w, &old, 20000),
 			 CONFIG_NO_ACTION);
 	assert_int_equal(receive_mark(&w, 5, 3, AGE_UNKNOWN, 20100),
@@ -364,7 +380,9 @@
 	buf_free(&w.record);
 }
 
-/* Those that don't read the store aren't all to do so when its era rises. */
+/*
+ * Instances that don't read the store must not all poll when its era changes.
+ */
 static void test_new_era_starts_no_poll(void **state)
 {
 	struct config_watch w;
@@ -380,13 +398,12 @@
 enum {
 	SIMULATED_POLLERS = 2,
 	SIMULATED_VERSIONS = 10000,
-	MISSED_MS =
-		10, /* a version this soon after a poll began wakes it not */
+	MISSED_MS = 10, /* a poll this recent isn't woken by a version */
 };
 
 /*
- * Two instances that began to poll together, and versions at random moments:
- * returns how many versions both have missed.
+ * Simulates two instances that begin polling together, and versions at random
+ * times. Returns how many versions both have missed.
  */
 static int simulate_polls(bool same_waits)
 {
@@ -409,7 +426,7 @@
 			missed_by += at - began[i] < MISSED_MS;
 		}
 		missed += missed_by == SIMULATED_POLLERS;
-		/* Whoever was woken polls again after its pause. */
+		/* Instances that were woken poll again after a pause. */
 		for (int i = 0; i < SIMULATED_POLLERS; i++) {
 			double r = same_waits ? 1 : g_rand_double(rand);
 
@@ -421,9 +438,9 @@
 }
 
 /*
- * A version that is written in the moment in which both instances ask anew was
- * told to neither before their polls ended, 2.5 s later (a day on which store
- * and pollers were in step, seed 358826578945: in force after 2.5 s of 2).
+ * Guards against polling in step. A version written while both instances renew
+ * their polls is returned to neither before the polls end, 2.5 s later (seed
+ * 358826578945: in force after 2.5 s; the limit is 2 s).
  */
 static void test_polls_differ(void **state)
 {
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -1,7 +1,7 @@
 /*
- * Tests of control/crash_watch: instances on loopback, each with its channel
- * to the others, that tell each other of ends and agree on verdicts. The store
- * doesn't answer; what is kept there is tested by repeated-crashes.sh.
+ * Tests of control/crash_watch: instances on loopback exchange evidence over
+ * their own channels and agree on verdicts. The store doesn't answer; stored
+ * verdicts are tested by repeated-crashes.sh.
  */
 #include "tests/unit.h"
 
@@ -16,9 +16,9 @@
 
 enum {
 	PORT = 17600,
-	STORE_PORT = 17599, /* nobody listens there */
+	STORE_PORT = 17599, /* nothing listens there */
 	SMALL = 4,
-	LARGE = 24, /* has hubs */
+	LARGE = 24, /* enough to have hubs */
 	CULPRIT = 1,
 	TICK_MS = 100,
 };
@@ -27,9 +27,9 @@
 	struct peer_channel channel;
 	struct store_endpoint store;
 	struct crash_watch watch;
-	enum verdict_kind verdict; /* on the culprit */
-	unsigned refused;	   /* verdicts to refuse anything */
-	bool unreachable;	   /* datagrams to it are lost */
+	enum verdict_kind verdict; /* on CULPRIT */
+	unsigned refused;	   /* number of refusals of any request */
+	bool unreachable;	   /* datagrams to it are dropped */
 };
 
 struct system {
@@ -88,7 +88,7 @@
 			  on_verdict, in);
 }
 
-/* All know each other's addresses, as from their records in the store. */
+/* Makes all addresses known, as the records in the store do. */
 static void add_all_peers(struct system *f)
 {
 	for (int i = 0; i < f->n; i++) {
@@ -127,7 +127,7 @@
 	ev_timer_init(&f->tick, on_tick, 0, TICK_MS / 1000.0);
 	f->tick.data = f;
 	ev_timer_start(f->loop, &f->tick);
-	/* Two heartbeats, and two rolls of a large one. */
+	/* Time for two heartbeats, or two rolls in a large system. */
 	run_ms(f, 1500);
 	return f;
 }
@@ -162,7 +162,9 @@
 	return n;
 }
 
-/* Three instances see one end each, with other requests beside it. */
+/*
+ * Three instances report one end each, with other requests at the same servers.
+ */
 static void three_ends(struct system *f)
 {
 	for (int i = 0; i < 3; i++) {
@@ -176,7 +178,7 @@
 	}
 }
 
-/* Waits, far longer than a calm machine needs. */
+/* Waits far longer than needed on an idle machine. */
 static void wait_for(struct system *f, enum verdict_kind kind, int n)
 {
 	for (int i = 0; i < 100 && count(f, kind) != n; i++)
@@ -191,14 +193,14 @@
 		assert_int_equal(f->all[i].refused, 1);
 }
 
-/* No one saw more than one end, and all refuse the right request. */
+/* No instance saw more than one end, and all refuse the right request. */
 static void test_small(void **state)
 {
 	struct system *f = begin(SMALL);
 
 	three_ends(f);
 	expect_all_refuse(f);
-	/* The first instances keep it in the store, as soon as that answers. */
+	/* The first instances have queued it for the store. */
 	for (int i = 0; i < f->n; i++)
 		assert_int_equal(
 			g_queue_get_length(&f->all[i].watch.record.pending),
@@ -206,7 +208,7 @@
 	end(f);
 }
 
-/* The same by way of the hubs, and an answer undoes it everywhere. */
+/* The same through the hubs; an answer then clears the verdict everywhere. */
 static void test_large(void **state)
 {
 	struct system *f = begin(LARGE);
@@ -219,7 +221,7 @@
 	end(f);
 }
 
-/* One that heard nothing for a while hears the verdict later. */
+/* An instance that was unreachable receives the verdict later. */
 static void test_unreachable_peer(void **state)
 {
 	struct system *f = begin(SMALL);
@@ -232,7 +234,7 @@
 	end(f);
 }
 
-/* One that lost its memory is told when it tells of another end. */
+/* An instance that lost a verdict gets it again when it reports an end. */
 static void test_forgotten_verdict(void **state)
 {
 	struct system *f = begin(SMALL);
@@ -248,7 +250,7 @@
 	end(f);
 }
 
-/* An answer that only one saw keeps all from a verdict. */
+/* An answer seen by one instance prevents the verdict on all. */
 static void test_answer_prevents_verdict(void **state)
 {
 	struct system *f = begin(SMALL);
@@ -258,14 +260,14 @@
 	wait_for(f, VERDICT_SUSPECT, SMALL);
 	report(f, 2, CRASH_NEWS_ANSWERED, CULPRIT, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
-	/* The answer is told for 0.14 s. */
+	/* The answer is repeated for 0.14 s. */
 	run_ms(f, 500);
 	report(f, 0, CRASH_NEWS_END, CULPRIT, 102);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
 	end(f);
 }
 
-/* A write that waited for the store doesn't outlive what it says. */
+/* An answer replaces a verdict whose write still waits for the store. */
 static void test_record_dropped(void **state)
 {
 	struct system *f = begin(SMALL);
@@ -283,7 +285,7 @@
 	end(f);
 }
 
-/* When all servers end at once there is more to tell than fits one datagram. */
+/* When all servers end at once, the evidence exceeds one datagram. */
 static void test_many_ends(void **state)
 {
 	struct system *f = begin(SMALL);
@@ -298,7 +300,7 @@
 	end(f);
 }
 
-/* Behind the hubs nobody judges, and nobody wakes up for it. */
+/* An instance behind the hubs decides nothing and starts no timer. */
 static void test_behind_hubs(void **state)
 {
 	struct system *f = begin(LARGE);
--- a/tests/test_record_check.c
+++ b/tests/test_record_check.c
@@ -1,6 +1,6 @@
 /*
- * Tests of control/record_check: what the system wrote itself stands in the store
- * again after it came back from a copy, by one write of the first instance.
+ * Tests of control/record_check: after the store was restored from a backup,
+ * the first instance writes the system's own lost records in one batch.
  */
 #include "tests/unit.h"
 
@@ -33,7 +33,7 @@
 {
 }
 
-/* Three peers live, e1 to e3; the store is in era 1. */
+/* Peers e1 to e3 are alive; the store is in era 1. */
 static struct fixture *begin(void)
 {
 	struct fixture *f = g_new0(struct fixture, 1);
@@ -89,7 +89,7 @@
 	g_free(text);
 }
 
-/* The listing has these members with their boots, and these verdicts. */
+/* Encodes a listing of members with their boot numbers and of verdicts. */
 static struct buf listing(const char *const *names, const uint64_t *boots,
 			  size_t n, const uint64_t *digests, size_t ndigests)
 {
@@ -135,7 +135,7 @@
 		      strlen(key)) != NULL;
 }
 
-/* The store is back in another era; `first`: it is this instance's turn. */
+/* The store enters another era; `first`: it is this instance's turn. */
 static void raise_era(struct fixture *f, uint64_t era, bool first)
 {
 	store_endpoint_learn(&f->store->endpoint, era, "test");
@@ -143,7 +143,7 @@
 	record_check_tick(&f->check, first, f->now_ms + SETTLED_MS);
 }
 
-/* As if it had stood in the store before. */
+/* Adds a verdict as if it had been read from the store. */
 static void add_stored_verdict(struct fixture *f, uint64_t digest)
 {
 	struct crash_news news = {CRASH_NEWS_QUARANTINE, digest, 1};
@@ -163,7 +163,7 @@
 	struct fixture *f = begin();
 
 	add_stored_verdict(f, 0xabc);
-	/* e2 has started anew since the copy, e3 isn't in it. */
+	/* e2 has restarted since the backup, and e3 isn't in it. */
 	scripted_answer(f->store, 200, "2", listing(all, stale, 3, NULL, 0));
 	scripted_answer(f->store, 200, "2", (struct buf){0});
 	raise_era(f, 2, true);
@@ -173,7 +173,7 @@
 	assert_false(wrote(f, "e1"));
 	assert_true(wrote(f, "quarantine-0000000000000abc"));
 	assert_int_equal(f->check.checked_era, 2);
-	/* Nothing more in this era. */
+	/* No second check in this era. */
 	record_check_tick(&f->check, true, f->now_ms + 9000);
 	assert_int_equal(f->check.store.call, STORE_NO_CALL);
 	end(f);
@@ -196,15 +196,18 @@
 	struct fixture *f = begin();
 	struct peer_info p = info("e1", 101);
 
-	/* Not the first. */
+	/* This instance isn't the first. */
 	raise_era(f, 2, false);
 	assert_int_equal(f->check.store.call, STORE_NO_CALL);
-	/* The first has ended, and another has done it. */
+	/*
+	 * The first instance has stopped, and another one has written the
+	 * records.
+	 */
 	p.records_era = 2;
 	peers_heard(&f->channel.peers, &p, f->now_ms);
 	record_check_tick(&f->check, true, f->now_ms + SETTLED_MS);
 	assert_int_equal(f->check.store.call, STORE_NO_CALL);
-	/* In the next era nobody has. */
+	/* No instance has written them in the next era. */
 	raise_era(f, 3, true);
 	assert_int_equal(f->check.store.call, STORE_NEWEST);
 	end(f);
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -1,11 +1,11 @@
-/* Tests of control/start: where a started instance gets what it needs. */
+/* Tests of control/start: where a starting instance gets its state from. */
 #include "tests/unit.h"
 
 #include "control/start.h"
 
 /*
- * An instance of a large system that has read the members' records and heard
- * of peers that can serve.
+ * An instance of a large system that has read the members' records and has
+ * heard from peers that can serve.
  */
 static const struct start_state large = {.many = true,
 					 .listed = true,
@@ -18,12 +18,12 @@
 {
 	struct start_state v = {.since_ms = 1000};
 
-	/* How many there are isn't known yet. */
+	/* The number of instances isn't known yet. */
 	assert_false(start_should_read_store(&v, 1050));
 	v.listed = true;
 	assert_true(start_should_read_store(&v, 1060));
 	assert_false(start_should_ask_peers(&v, 0));
-	/* The store doesn't answer: both ways at once. */
+	/* The store doesn't answer: use both the store and peers. */
 	v.listed = false;
 	v.failures = 1;
 	assert_true(start_should_read_store(&v, 2100));
@@ -36,32 +36,32 @@
 
 	assert_false(start_should_read_store(&v, 1100));
 	assert_true(start_should_ask_peers(&v, 0));
-	/* The first two read, so that there is somebody to ask. */
+	/* The first two read the store, so that others can ask them. */
 	v.rank = 1;
 	assert_true(start_should_read_store(&v, 1100));
 	v.rank = 2;
 	assert_false(start_should_read_store(&v, 1100));
-	/* Nobody helped in time. */
+	/* No peer has answered in time. */
 	assert_true(start_should_read_store(&v, 3600));
 }
 
-/* All were killed: nobody can help, and callers are at the door. */
+/* After a crash of all instances no peer can help, and callers are waiting. */
 static void test_no_peer_ready(void **state)
 {
 	struct start_state v = large;
 
 	v.ready = 0;
-	/* The first heartbeats are being answered. */
+	/* The first heartbeats may still be answered. */
 	assert_false(start_should_read_store(&v, 1060));
 	assert_true(start_should_read_store(&v, 1120));
-	/* When the whole system starts there is no hurry. */
+	/* Callers don't wait yet when the whole system starts. */
 	v.first = true;
 	assert_false(start_should_read_store(&v, 1120));
 	assert_false(start_should_read_store(&v, 3400));
 	assert_true(start_should_read_store(&v, 3600));
 }
 
-/* A peer that is asked by too many at once sends them away. */
+/* A peer refuses requests if too many arrive at once. */
 static void test_refused(void **state)
 {
 	struct start_state v = large;
