--- a/control/backend_feed.c
+++ b/control/backend_feed.c
@@ -160,11 +160,11 @@
  * peer has sent changes for too long, later the lower their rank, and back off
  * after failures.
  */
-int64_t backend_list_next_read_ms(unsigned rank, bool many, int64_t fresh_ms,
+int64_t backend_list_next_read_ms(unsigned rank, bool large, int64_t fresh_ms,
 				  int64_t tried_ms, unsigned failures)
 {
 	int64_t longest =
-		many && rank >= HUBS ? RETRY_BEHIND_HUBS_MS : RETRY_MAX_MS;
+		large && rank >= HUBS ? RETRY_BEHIND_HUBS_MS : RETRY_MAX_MS;
 	unsigned r = rank < RANK_MAX ? rank : RANK_MAX;
 	int64_t due = fresh_ms + (rank ? TAKEOVER_MS + (int64_t)r * RANK_STEP_MS
 				       : READ_MS);
--- a/control/backend_list.h
+++ b/control/backend_list.h
@@ -60,7 +60,7 @@
 void backend_list_import(struct backend_list *l, const GArray *changes,
 			 struct store_position end, int64_t as_of_ms,
 			 int64_t now_ms);
-int64_t backend_list_next_read_ms(unsigned rank, bool many, int64_t fresh_ms,
+int64_t backend_list_next_read_ms(unsigned rank, bool large, int64_t fresh_ms,
 				  int64_t tried_ms, unsigned failures);
 
 #endif
--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -201,11 +201,11 @@
  * every 0.1 s.
  */
 void backend_watch_tick(struct backend_watch *w, bool may_list, unsigned rank,
-			bool many, int64_t now_ms)
+			bool large, int64_t now_ms)
 {
 	/* After a change of era, other ranks than the first wait for a feed. */
 	int64_t due = backend_list_next_read_ms(
-		rank, many, MAX(w->list.fresh_ms, w->era_ms), w->read_sent_ms,
+		rank, large, MAX(w->list.fresh_ms, w->era_ms), w->read_sent_ms,
 		w->failures);
 	bool anew = !w->list.loaded || w->gap || w->relist ||
 		    (rank == 0 && !backend_watch_is_current(w));
--- a/control/backend_watch.h
+++ b/control/backend_watch.h
@@ -35,7 +35,7 @@
 			 void (*read_done)(void *priv, bool recovered),
 			 void *priv);
 void backend_watch_tick(struct backend_watch *w, bool may_list, unsigned rank,
-			bool many, int64_t now_ms);
+			bool large, int64_t now_ms);
 void backend_watch_apply_feed(struct backend_watch *w,
 			      const struct backend_feed *f, int64_t now_ms);
 void backend_watch_new_era(struct backend_watch *w, int64_t now_ms);
--- a/control/control.c
+++ b/control/control.c
@@ -123,12 +123,12 @@
 {
 	struct control *c = priv;
 	int64_t now_ms = clock_ms();
-	bool many = hubs_serve(&c->peers.peers);
+	bool large = hubs_serve(&c->peers.peers);
 	unsigned rank = peers_rank(&c->peers.peers, now_ms);
 
 	control_publish_age(c);
 	update_self(c, now_ms);
-	send_feed(c, feeder_target_after_read(many, rank), now_ms);
+	send_feed(c, feeder_target_after_read(large, rank), now_ms);
 	if (recovered)
 		config_watch_restart(&c->config);
 }
@@ -246,15 +246,15 @@
 {
 	return (struct start_state){
 		.done = c->can_serve,
-		.many = hubs_serve(&c->peers.peers),
-		.first = c->settings.first_start,
-		.listed = c->record.listed,
-		.listed_ms = c->record.listed_ms,
-		.ready = peers_ready(&c->peers.peers, now_ms),
-		.refused = c->peer_fetch.refused,
-		.failures = c->record.failures,
+		.large = hubs_serve(&c->peers.peers),
+		.first_start = c->settings.first_start,
+		.members_read = c->record.listed,
+		.members_read_ms = c->record.listed_ms,
+		.ready_peers = peers_ready(&c->peers.peers, now_ms),
+		.failed_fetches = c->peer_fetch.failures,
+		.member_failures = c->record.failures,
 		.rank = peers_start_rank(&c->peers.peers, now_ms),
-		.since_ms = c->started_ms,
+		.started_ms = c->started_ms,
 	};
 }
 
@@ -280,22 +280,22 @@
 	unsigned store_failures =
 		c->config.failures + c->backends.failures + c->record.failures;
 
-	c->config.behind_hubs = start.many && rank >= HUBS;
+	c->config.behind_hubs = start.large && rank >= HUBS;
 	config_watch_tick(&c->config, reads || c->peer_fetch.config_too_large,
 			  rank < CONFIG_POLLERS, now_ms);
-	backend_watch_tick(&c->backends, reads, rank, start.many, now_ms);
+	backend_watch_tick(&c->backends, reads, rank, start.large, now_ms);
 	control_publish_age(c);
 	control_publish_usage(c);
 	update_self(c, now_ms);
 	if (start_should_ask_peers(&start, store_failures))
 		peer_fetch_tick(&c->peer_fetch, store_failures > 0, now_ms);
 	send_feed(c,
-		  feeder_target_after_feed(&c->feeder, start.many, rank,
+		  feeder_target_after_feed(&c->feeder, start.large, rank,
 					   c->backends.list.fresh_ms, now_ms),
 		  now_ms);
 	announce_era(c, now_ms);
 	peer_channel_tick(&c->peers, now_ms);
-	crash_watch_tick(&c->crashes, rank, start.many);
+	crash_watch_tick(&c->crashes, rank, start.large);
 	record_check_tick(&c->records, rank == 0, now_ms);
 	log_lost_peers(c, now_ms);
 	publish_peers(c, now_ms);
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -75,7 +75,7 @@
 /* Evidence goes to the instances that decide, verdicts go to all. */
 static bool goes_to_all(const struct crash_watch *w, const struct broadcast *t)
 {
-	if (!w->many || t->news.kind == CRASH_NEWS_QUARANTINE)
+	if (!w->large || t->news.kind == CRASH_NEWS_QUARANTINE)
 		return true;
 	return t->news.kind == CRASH_NEWS_ANSWERED && w->rank < HUBS;
 }
@@ -140,7 +140,7 @@
 /* Only the hubs receive all evidence in a large system. */
 static bool judges(const struct crash_watch *w)
 {
-	return !w->many || w->rank < HUBS;
+	return !w->large || w->rank < HUBS;
 }
 
 static void arm(struct crash_watch *w, int64_t now_ms)
@@ -273,7 +273,7 @@
 	/*
 	 * In a large system the hubs forward answers that end their verdicts.
 	 */
-	if (!w->source || (verdict && w->many && w->rank < HUBS))
+	if (!w->source || (verdict && w->large && w->rank < HUBS))
 		add_broadcast(w, news,
 			      verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
 	crash_ledger_answered(&w->ledger, news->digest, now_ms);
@@ -322,20 +322,20 @@
 	apply(w, news);
 }
 
-static void apply_all(struct crash_watch *w, const char *teller,
+static void apply_all(struct crash_watch *w, const char *source,
 		      const GArray *news)
 {
-	w->source = teller;
+	w->source = source;
 	for (guint i = 0; i < news->len; i++)
 		apply(w, &g_array_index(news, struct crash_news, i));
 	w->source = NULL;
 }
 
 /* crash_watch_add_peer() handles news from a peer. */
-void crash_watch_add_peer(struct crash_watch *w, const char *teller,
+void crash_watch_add_peer(struct crash_watch *w, const char *source,
 			  const GArray *news)
 {
-	apply_all(w, teller, news);
+	apply_all(w, source, news);
 }
 
 /* crash_watch_add_stored() handles verdicts read from the store. */
@@ -379,10 +379,10 @@
 }
 
 /* crash_watch_tick() does periodic work; call it about every 0.1 s. */
-void crash_watch_tick(struct crash_watch *w, unsigned rank, bool many)
+void crash_watch_tick(struct crash_watch *w, unsigned rank, bool large)
 {
 	w->rank = rank;
-	w->many = many;
+	w->large = large;
 	if (w->joins != w->channel->joins && rank < HUBS)
 		broadcast_verdicts(w);
 	w->joins = w->channel->joins;
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -25,7 +25,7 @@
 	ev_timer due;	    /* next decision or broadcast */
 	GArray *broadcasts; /* struct broadcast */
 	unsigned rank;	/* number of live instances ordered before this one */
-	bool many;	/* the system is large */
+	bool large;	/* hubs are in use, see member/hubs.h */
 	unsigned joins; /* value of channel->joins at the last tick */
 	const char *source; /* who sent these news; NULL: this instance */
 	bool from_store;    /* the news being applied come from the store */
@@ -40,10 +40,10 @@
 		       void *priv);
 void crash_watch_add_local(struct crash_watch *w,
 			   const struct crash_news *news);
-void crash_watch_add_peer(struct crash_watch *w, const char *teller,
+void crash_watch_add_peer(struct crash_watch *w, const char *source,
 			  const GArray *news);
 void crash_watch_add_stored(struct crash_watch *w, const GArray *news);
 GArray *crash_watch_verdicts(const struct crash_watch *w);
-void crash_watch_tick(struct crash_watch *w, unsigned rank, bool many);
+void crash_watch_tick(struct crash_watch *w, unsigned rank, bool large);
 
 #endif
--- a/control/feeder.c
+++ b/control/feeder.c
@@ -21,9 +21,9 @@
  * each fed all others, the changes of 432 servers would amount to 450 MB. So
  * only hubs feed all, and others feed the hubs, which may have failed to read.
  */
-enum feed_target feeder_target_after_read(bool many, unsigned rank)
+enum feed_target feeder_target_after_read(bool large, unsigned rank)
 {
-	return many && rank >= HUBS ? FEED_HUBS : FEED_ALL;
+	return large && rank >= HUBS ? FEED_HUBS : FEED_ALL;
 }
 
 /*
@@ -31,11 +31,11 @@
  * in a large system the first hub forwards them if the list has become fresher
  * since its last feed.
  */
-enum feed_target feeder_target_after_feed(const struct feeder *f, bool many,
+enum feed_target feeder_target_after_feed(const struct feeder *f, bool large,
 					  unsigned rank, int64_t list_fresh_ms,
 					  int64_t now_ms)
 {
-	if (!many || rank != 0 || list_fresh_ms <= f->fresh_ms)
+	if (!large || rank != 0 || list_fresh_ms <= f->fresh_ms)
 		return FEED_NONE;
 	return now_ms - f->sent_ms >= RELAY_INTERVAL_MS ? FEED_ALL : FEED_NONE;
 }
@@ -51,10 +51,11 @@
 	if (to == FEED_NONE)
 		return;
 	backend_list_build_feed(list, &feed, now_ms);
-	at = gossip_feed_begin(
-		&feed, ch->joined ? (struct store_position){0} : f->sent_pos,
-		CHANGES_MAX);
-	ch->joined = false;
+	at = gossip_feed_begin(&feed,
+			       ch->has_new_peer ? (struct store_position){0}
+						: f->sent_pos,
+			       CHANGES_MAX);
+	ch->has_new_peer = false;
 	do {
 		b.len = 0;
 		at = gossip_write_feed(&b, &ch->peers.self, &feed, at);
--- a/control/feeder.h
+++ b/control/feeder.h
@@ -16,8 +16,8 @@
 	int64_t sent_ms;
 };
 
-enum feed_target feeder_target_after_read(bool many, unsigned rank);
-enum feed_target feeder_target_after_feed(const struct feeder *f, bool many,
+enum feed_target feeder_target_after_read(bool large, unsigned rank);
+enum feed_target feeder_target_after_feed(const struct feeder *f, bool large,
 					  unsigned rank, int64_t list_fresh_ms,
 					  int64_t now_ms);
 void feeder_send(struct feeder *f, struct peer_channel *ch,
--- a/control/member_record.c
+++ b/control/member_record.c
@@ -46,7 +46,7 @@
 				 (int)r->records[i].key.len,
 				 r->records[i].key.ptr);
 		else if (msg.kind == GOSSIP_CRASH)
-			m->crashes(m->priv, msg.crashes);
+			m->on_verdicts(m->priv, msg.crashes);
 		else
 			peers_add(m->peers, &msg.sender, clock_ms());
 		gossip_message_clear(&msg);
@@ -80,24 +80,24 @@
 	else {
 		m->listed = true;
 		m->listed_ms = clock_ms();
-		m->done(m->priv);
+		m->on_members(m->priv);
 	}
 }
 
 /*
  * member_record_start() writes this instance's record, then reads the others'.
- * `done` is called when they are read, `crashes` for each verdict stored with
- * them.
+ * `on_members` is called when they are read, `on_verdicts` with each record of
+ * verdicts stored with them.
  */
 void member_record_start(struct member_record *m, struct ev_loop *loop,
 			 struct store_endpoint *store, struct peer_table *peers,
-			 void (*done)(void *priv),
-			 void (*crashes)(void *priv, const GArray *news),
+			 void (*on_members)(void *priv),
+			 void (*on_verdicts)(void *priv, const GArray *news),
 			 void *priv)
 {
 	memset(m, 0, sizeof(*m));
-	m->crashes = crashes;
-	m->done = done;
+	m->on_verdicts = on_verdicts;
+	m->on_members = on_members;
 	m->priv = priv;
 	m->loop = loop;
 	m->peers = peers;
--- a/control/member_record.h
+++ b/control/member_record.h
@@ -15,8 +15,8 @@
 	struct ev_loop *loop;
 	struct store_channel store;
 	ev_timer retry;
-	void (*done)(void *priv); /* the members' records were read */
-	void (*crashes)(void *priv, const GArray *news);
+	void (*on_members)(void *priv); /* the members' records were read */
+	void (*on_verdicts)(void *priv, const GArray *news);
 	void *priv;
 	struct peer_table *peers;
 	bool written, listed;
@@ -26,8 +26,8 @@
 
 void member_record_start(struct member_record *m, struct ev_loop *loop,
 			 struct store_endpoint *store, struct peer_table *peers,
-			 void (*done)(void *priv),
-			 void (*crashes)(void *priv, const GArray *news),
+			 void (*on_members)(void *priv),
+			 void (*on_verdicts)(void *priv, const GArray *news),
 			 void *priv);
 
 #endif
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -262,7 +262,7 @@
 	struct peer *p = peers_find(&ch->peers, info->name);
 	struct buf b = {0};
 
-	ch->joined = true;
+	ch->has_new_peer = true;
 	ch->joins++;
 	mp_event(EV_PEER_JOINED, G_LOG_LEVEL_MESSAGE,
 		 "peer=%s dc=%s boot=%" G_GUINT64_FORMAT, info->name, info->dc,
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -16,7 +16,7 @@
 	int sock;
 	ev_io io;
 	unsigned joins;		 /* peers that joined or returned so far */
-	bool joined;		 /* a peer joined since the last feed */
+	bool has_new_peer;	 /* a peer joined since the last feed */
 	uint32_t roll_digest;	 /* of the last roll sent */
 	int64_t roll_changed_ms; /* when that digest last changed */
 	int64_t roll_sent_ms;	 /* when the last roll was sent; 0: never */
--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -142,7 +142,7 @@
 static void on_no_answer(struct peer_fetch *in, unsigned status,
 			 const char *err)
 {
-	in->refused++;
+	in->failures++;
 	mp_event(EV_PEER_SILENT, G_LOG_LEVEL_MESSAGE,
 		 "peer=%s what=%s status=%u err=%s", in->target.name,
 		 in->config_only ? "config" : "snapshot", status,
--- a/control/peer_fetch.h
+++ b/control/peer_fetch.h
@@ -22,7 +22,7 @@
 	struct peer_info target;
 	bool config_only;      /* the pending request is for a version only */
 	bool config_too_large; /* read the configuration from the store */
-	unsigned refused;      /* failed requests */
+	unsigned failures;     /* failed requests */
 	int64_t asked_ms;
 	unsigned turn;
 };
--- a/control/start.c
+++ b/control/start.c
@@ -27,10 +27,10 @@
  */
 static bool peers_can_help(const struct start_state *v, int64_t now_ms)
 {
-	if (v->first)
+	if (v->first_start)
 		return true;
-	return !v->refused &&
-	       (v->ready || now_ms - v->listed_ms < READY_KNOWN_MS);
+	return !v->failed_fetches &&
+	       (v->ready_peers || now_ms - v->members_read_ms < READY_KNOWN_MS);
 }
 
 /*
@@ -40,12 +40,13 @@
  */
 bool start_should_read_store(const struct start_state *v, int64_t now_ms)
 {
-	if (v->done || v->failures || now_ms - v->since_ms > PEERS_ONLY_MS)
+	if (v->done || v->member_failures ||
+	    now_ms - v->started_ms > PEERS_ONLY_MS)
 		return true;
 	/* The number of instances is unknown until the members are read. */
-	if (!v->listed)
+	if (!v->members_read)
 		return false;
-	return !v->many || v->rank < STORE_READERS ||
+	return !v->large || v->rank < STORE_READERS ||
 	       !peers_can_help(v, now_ms);
 }
 
@@ -53,5 +54,5 @@
 bool start_should_ask_peers(const struct start_state *v,
 			    unsigned store_failures)
 {
-	return !v->done && (v->many || store_failures >= STORE_FAILURES);
+	return !v->done && (v->large || store_failures >= STORE_FAILURES);
 }
--- a/control/start.h
+++ b/control/start.h
@@ -11,15 +11,15 @@
 
 struct start_state {
 	bool done;	   /* configuration and list were complete once */
-	bool many;	   /* the system is large */
-	bool first;	   /* the whole system starts for the first time */
-	bool listed;	   /* the members' records were read */
-	int64_t listed_ms; /* when they were read */
-	unsigned ready;	   /* number of live peers that can serve */
-	unsigned refused;  /* failed requests to peers */
-	unsigned failures; /* consecutive failures to read the members */
-	unsigned rank;	   /* number of instances ordered before this one */
-	int64_t since_ms;  /* time of the startup */
+	bool large;	   /* hubs are in use, see member/hubs.h */
+	bool first_start;  /* the whole system starts for the first time */
+	bool members_read; /* the members' records were read */
+	int64_t members_read_ms;  /* when they were read */
+	unsigned ready_peers;	  /* number of live peers that can serve */
+	unsigned failed_fetches;  /* failed requests to peers */
+	unsigned member_failures; /* consecutive failures to read the members */
+	unsigned rank;	    /* number of instances ordered before this one */
+	int64_t started_ms; /* time of the startup */
 };
 
 bool start_should_read_store(const struct start_state *v, int64_t now_ms);
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -19,7 +19,7 @@
 	STORE_PORT = 17599, /* nothing listens there */
 	SMALL = 4,
 	LARGE = 24, /* enough to have hubs */
-	CULPRIT = 1,
+	CRASH_DIGEST = 1,
 	TICK_MS = 100,
 };
 
@@ -27,7 +27,7 @@
 	struct peer_channel channel;
 	struct store_endpoint store;
 	struct crash_watch watch;
-	enum verdict_kind verdict; /* on CULPRIT */
+	enum verdict_kind verdict; /* on CRASH_DIGEST */
 	unsigned refused;	   /* number of refusals of any request */
 	bool unreachable;	   /* datagrams to it are dropped */
 };
@@ -44,7 +44,7 @@
 	struct instance *in = priv;
 
 	in->refused += v->kind == VERDICT_REFUSE;
-	if (v->digest == CULPRIT)
+	if (v->digest == CRASH_DIGEST)
 		in->verdict = v->kind;
 }
 
@@ -170,7 +170,7 @@
 	for (int i = 0; i < 3; i++) {
 		int at = f->n - 1 - i;
 
-		report(f, at, CRASH_NEWS_END, CULPRIT, 100 + (uint32_t)i);
+		report(f, at, CRASH_NEWS_END, CRASH_DIGEST, 100 + (uint32_t)i);
 		report(f, i, CRASH_NEWS_END, 10 + (uint64_t)i,
 		       100 + (uint32_t)i);
 		report(f, i, CRASH_NEWS_END, 7, 100 + (uint32_t)(i % 2));
@@ -216,7 +216,7 @@
 	assert_true(hubs_serve(&f->all[0].channel.peers));
 	three_ends(f);
 	expect_all_refuse(f);
-	report(f, LARGE - 1, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	report(f, LARGE - 1, CRASH_NEWS_ANSWERED, CRASH_DIGEST, 0);
 	wait_for(f, VERDICT_CLEAR, LARGE);
 	end(f);
 }
@@ -241,11 +241,12 @@
 
 	three_ends(f);
 	wait_for(f, VERDICT_REFUSE, SMALL);
-	crash_ledger_answered(&f->all[3].watch.ledger, CULPRIT, clock_ms());
+	crash_ledger_answered(&f->all[3].watch.ledger, CRASH_DIGEST,
+			      clock_ms());
 	for (int i = 0; i < f->n; i++)
 		g_array_set_size(f->all[i].watch.broadcasts, 0);
 	assert_int_equal(count(f, VERDICT_REFUSE), SMALL - 1);
-	report(f, 3, CRASH_NEWS_END, CULPRIT, 555);
+	report(f, 3, CRASH_NEWS_END, CRASH_DIGEST, 555);
 	wait_for(f, VERDICT_REFUSE, SMALL);
 	end(f);
 }
@@ -255,14 +256,14 @@
 {
 	struct system *f = begin(SMALL);
 
-	report(f, 0, CRASH_NEWS_END, CULPRIT, 100);
-	report(f, 1, CRASH_NEWS_END, CULPRIT, 101);
+	report(f, 0, CRASH_NEWS_END, CRASH_DIGEST, 100);
+	report(f, 1, CRASH_NEWS_END, CRASH_DIGEST, 101);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
-	report(f, 2, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	report(f, 2, CRASH_NEWS_ANSWERED, CRASH_DIGEST, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
 	/* The answer is repeated for 0.14 s. */
 	run_ms(f, 500);
-	report(f, 0, CRASH_NEWS_END, CULPRIT, 102);
+	report(f, 0, CRASH_NEWS_END, CRASH_DIGEST, 102);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
 	end(f);
 }
@@ -274,7 +275,7 @@
 
 	three_ends(f);
 	expect_all_refuse(f);
-	report(f, SMALL - 1, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	report(f, SMALL - 1, CRASH_NEWS_ANSWERED, CRASH_DIGEST, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
 	for (int i = 0; i < SMALL; i++) {
 		const struct crash_news *last =
@@ -309,7 +310,7 @@
 	for (int i = 0; i < LARGE; i++)
 		f->all[i].unreachable = true;
 	for (uint32_t s = 1; s <= 3; s++)
-		report(f, LARGE - 1, CRASH_NEWS_END, CULPRIT, s);
+		report(f, LARGE - 1, CRASH_NEWS_END, CRASH_DIGEST, s);
 	run_ms(f, 500);
 	assert_int_equal(count(f, VERDICT_REFUSE), 0);
 	assert_int_equal(f->all[LARGE - 1].verdict, VERDICT_SUSPECT);
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -7,25 +7,25 @@
  * An instance of a large system that has read the members' records and has
  * heard from peers that can serve.
  */
-static const struct start_state large = {.many = true,
-					 .listed = true,
-					 .listed_ms = 1020,
-					 .ready = 30,
+static const struct start_state large = {.large = true,
+					 .members_read = true,
+					 .members_read_ms = 1020,
+					 .ready_peers = 30,
 					 .rank = 40,
-					 .since_ms = 1000};
+					 .started_ms = 1000};
 
 static void test_members_read_first(void **state)
 {
-	struct start_state v = {.since_ms = 1000};
+	struct start_state v = {.started_ms = 1000};
 
 	/* The number of instances isn't known yet. */
 	assert_false(start_should_read_store(&v, 1050));
-	v.listed = true;
+	v.members_read = true;
 	assert_true(start_should_read_store(&v, 1060));
 	assert_false(start_should_ask_peers(&v, 0));
 	/* The store doesn't answer: use both the store and peers. */
-	v.listed = false;
-	v.failures = 1;
+	v.members_read = false;
+	v.member_failures = 1;
 	assert_true(start_should_read_store(&v, 2100));
 	assert_true(start_should_ask_peers(&v, 1));
 }
@@ -50,12 +50,12 @@
 {
 	struct start_state v = large;
 
-	v.ready = 0;
+	v.ready_peers = 0;
 	/* The first heartbeats may still be answered. */
 	assert_false(start_should_read_store(&v, 1060));
 	assert_true(start_should_read_store(&v, 1120));
 	/* Callers don't wait yet when the whole system starts. */
-	v.first = true;
+	v.first_start = true;
 	assert_false(start_should_read_store(&v, 1120));
 	assert_false(start_should_read_store(&v, 3400));
 	assert_true(start_should_read_store(&v, 3600));
@@ -66,10 +66,10 @@
 {
 	struct start_state v = large;
 
-	v.refused = 1;
+	v.failed_fetches = 1;
 	assert_true(start_should_read_store(&v, 1100));
 	assert_true(start_should_ask_peers(&v, 0));
-	v.first = true;
+	v.first_start = true;
 	assert_false(start_should_read_store(&v, 1100));
 }
 
