--- a/control/backend_deferred.c
+++ b/control/backend_deferred.c
@@ -131,6 +131,7 @@
 	return due;
 }
 
+/* Applies deferred removals that are due. */
 static void remove_due(struct backend_list *l, int64_t now_ms)
 {
 	GPtrArray *due = list_due(l, l->entries, now_ms);
@@ -167,16 +168,16 @@
 static int64_t next_due_ms(const struct backend_list *l)
 {
 	GPtrArray *all = list_due(l, l->entries, INT64_MAX);
-	GPtrArray *doubts = list_due(l, l->unconfirmed, INT64_MAX);
+	GPtrArray *unconfirmed = list_due(l, l->unconfirmed, INT64_MAX);
 	int64_t due_ms = 0;
 
-	g_ptr_array_extend(all, doubts, NULL, NULL);
+	g_ptr_array_extend(all, unconfirmed, NULL, NULL);
 	for (guint i = 0; i < all->len; i++) {
 		const struct list_entry *e = g_ptr_array_index(all, i);
 
 		due_ms = !due_ms || e->due_ms < due_ms ? e->due_ms : due_ms;
 	}
-	g_ptr_array_unref(doubts);
+	g_ptr_array_unref(unconfirmed);
 	g_ptr_array_unref(all);
 	return due_ms;
 }
--- a/control/backend_feed.c
+++ b/control/backend_feed.c
@@ -64,7 +64,7 @@
 			     const struct backend_feed *f, int64_t now_ms)
 {
 	struct store_position known = l->pos;
-	bool copied = l->restored;
+	bool restored = l->restored;
 
 	if (!l->loaded)
 		return false;
@@ -87,7 +87,7 @@
 	}
 	if (f->to.era > known.era)
 		begin_era(l, f);
-	l->restored = copied;
+	l->restored = restored;
 	backend_list_advance(l, f->to,
 			     f->age_ms == AGE_UNKNOWN ? l->fresh_ms
 						      : now_ms - f->age_ms,
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -72,7 +72,7 @@
  */
 void backend_list_grace_if_stale(struct backend_list *l, int64_t now_ms)
 {
-	/* A lease lasts three heartbeats, so none can have expired before. */
+	/* A lease lasts three heartbeats, so none can expire within one. */
 	if (l->loaded && now_ms - l->fresh_ms > l->heartbeat_ms)
 		l->grace_until_ms = now_ms + BACKEND_GRACE_MS;
 }
@@ -86,6 +86,7 @@
 	backend_list_grace_if_stale(l, now_ms);
 }
 
+/* Applies a removal, or defers it. */
 static void remove_entry(struct backend_list *l, const struct backend_change *c,
 			 int64_t now_ms)
 {
@@ -185,12 +186,12 @@
 			  const struct backend_change *received, int64_t now_ms)
 {
 	struct backend_change c = {.pos = received->pos, .entry = e->entry};
-	bool was_missing = e->deferred;
+	bool was_deferred = e->deferred;
 
 	e->pos = received->pos;
 	e->deferred = false;
 	e->from_old_era = differs(&e->entry, &received->entry);
-	if (was_missing)
+	if (was_deferred)
 		backend_list_publish(l, &c, now_ms);
 }
 
--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -42,6 +42,7 @@
 	return decode_key(rec, c);
 }
 
+/* Applies the records of a read or of a page. */
 static void apply_records(struct backend_watch *w, const struct store_result *r,
 			  int64_t now_ms)
 {
@@ -53,6 +54,7 @@
 	}
 }
 
+/* Handles a failed call; the next tick retries it. */
 static void on_failure(struct backend_watch *w, int err)
 {
 	w->listing = false;
@@ -95,6 +97,7 @@
 	return true;
 }
 
+/* Applies removals in the tail that confirm deferred ones. */
 static void apply_removals(struct backend_watch *w,
 			   const struct store_result *r, int64_t now_ms)
 {
@@ -130,6 +133,7 @@
 				 now_ms);
 }
 
+/* Handles the end of a successful read. */
 static void on_read_complete(struct backend_watch *w)
 {
 	bool recovered = w->failures > 0;
@@ -144,6 +148,7 @@
 	w->read_done(w->priv, recovered);
 }
 
+/* Handles the result of any call to the store. */
 static void on_done(void *priv, const struct store_result *r)
 {
 	struct backend_watch *w = priv;
@@ -184,6 +189,7 @@
 	return w->list.pos.era == w->store.store->era;
 }
 
+/* Sends a read of new records, or of a full listing if necessary. */
 static void read_now(struct backend_watch *w, int64_t now_ms)
 {
 	w->read_sent_ms = now_ms;
@@ -207,13 +213,13 @@
 	int64_t due = backend_list_next_read_ms(
 		rank, large, MAX(w->list.fresh_ms, w->era_ms), w->read_sent_ms,
 		w->failures);
-	bool anew = !w->list.loaded || w->gap || w->relist ||
-		    (rank == 0 && !backend_watch_is_current(w));
+	bool list_now = !w->list.loaded || w->gap || w->relist ||
+			(rank == 0 && !backend_watch_is_current(w));
 
 	backend_list_apply_deferred(&w->list, now_ms);
 	if (w->store.call != STORE_NO_CALL || !(may_list || w->list.loaded))
 		return;
-	if (anew && w->failures == 0)
+	if (list_now && w->failures == 0)
 		due = 0;
 	/* A peer has read the store since the last failure here. */
 	if (w->gap && w->gap_ms > w->read_sent_ms)
--- a/control/config_source.c
+++ b/control/config_source.c
@@ -1,6 +1,7 @@
 #include "common/event.h"
 #include "control/config_source.h"
 
+/* Logs why a record is invalid. */
 static void log_findings(const struct store_record *rec,
 			 const struct findings *f)
 {
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -53,6 +53,7 @@
 
 static void send_read(struct config_watch *w);
 
+/* Returns a hash by which peers compare records. */
 static uint32_t digest_of(struct lstr record)
 {
 	GBytes *bytes = g_bytes_new_static(record.ptr, record.len);
@@ -198,6 +199,7 @@
 	w->relist = true;
 }
 
+/* Handles a failed call and schedules a retry. */
 static void on_failure(struct config_watch *w, int err)
 {
 	unsigned shift = w->failures < 5 ? w->failures : 4;
@@ -212,6 +214,7 @@
 	schedule_read(w, wait_ms < longest_ms ? wait_ms : longest_ms);
 }
 
+/* Handles the result of any call to the store. */
 static void on_done(void *priv, const struct store_result *r)
 {
 	struct config_watch *w = priv;
@@ -259,6 +262,7 @@
 	return w->pos.era == w->store.store->era;
 }
 
+/* Sends a long poll, or asks for the newest record if there is no position. */
 static void send_read(struct config_watch *w)
 {
 	w->call_sent_ms = clock_ms();
@@ -269,6 +273,7 @@
 			   config_poll_wait_ms(g_random_double()));
 }
 
+/* Returns whether no call is pending and none is scheduled. */
 static bool is_idle(const struct config_watch *w)
 {
 	return w->store.call == STORE_NO_CALL && !ev_is_active(&w->retry);
--- a/control/control.c
+++ b/control/control.c
@@ -64,6 +64,7 @@
 			 ch->pos.offset, ch->pos.era);
 }
 
+/* Logs a change of the list and sends it to the traffic thread. */
 static void on_backend(void *priv, const struct backend_change *ch)
 {
 	struct backend_change *copy = g_new(struct backend_change, 1);
@@ -231,6 +232,7 @@
 	control_send_traffic(c, TO_TRAFFIC_PEERS, g_memdup2(&v, sizeof(v)));
 }
 
+/* Logs peers that have become silent, once each. */
 static void log_lost_peers(struct control *c, int64_t now_ms)
 {
 	const struct peer *p;
@@ -242,6 +244,7 @@
 			 now_ms - p->heard_ms);
 }
 
+/* Collects what the startup decides on. */
 static struct start_state start_state(const struct control *c, int64_t now_ms)
 {
 	return (struct start_state){
@@ -306,6 +309,7 @@
 	run_due(t->data);
 }
 
+/* Resets what depends on the era; runs outside the store callback. */
 static void on_new_era(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct control *c = t->data;
@@ -316,6 +320,7 @@
 	run_due(c);
 }
 
+/* Defers the handling of a new era to the event loop. */
 static void on_era_risen(void *priv)
 {
 	struct control *c = priv;
@@ -394,6 +399,7 @@
 		apply_settings(c, &loaded);
 }
 
+/* Handles a message of the traffic thread. */
 static void from_traffic(void *priv, struct mail *m)
 {
 	struct control *c = priv;
--- a/control/crash_record.c
+++ b/control/crash_record.c
@@ -50,6 +50,7 @@
 	ev_timer_start(r->loop, &r->retry);
 }
 
+/* Continues with the next record, or retries this one after a failure. */
 static void on_done(void *priv, const struct store_result *res)
 {
 	struct crash_record *r = priv;
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -80,6 +80,7 @@
 	return t->news.kind == CRASH_NEWS_ANSWERED && w->rank < HUBS;
 }
 
+/* Sends one datagram of news to all live peers or to the hubs. */
 static void send_news(struct crash_watch *w, const struct crash_news *news,
 		      unsigned n, bool to_all, int64_t now_ms)
 {
@@ -138,14 +139,15 @@
 }
 
 /* Only the hubs receive all evidence in a large system. */
-static bool judges(const struct crash_watch *w)
+static bool decides(const struct crash_watch *w)
 {
 	return !w->large || w->rank < HUBS;
 }
 
+/* Sets the timer to the next decision or broadcast. */
 static void arm(struct crash_watch *w, int64_t now_ms)
 {
-	int64_t due = judges(w) ? crash_ledger_due_ms(&w->ledger) : 0;
+	int64_t due = decides(w) ? crash_ledger_due_ms(&w->ledger) : 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
 		int64_t next = g_array_index(w->broadcasts, struct broadcast, i)
@@ -160,11 +162,12 @@
 	ev_timer_start(w->loop, &w->due);
 }
 
+/* Makes the decisions and sends the broadcasts that are due. */
 static void run_due(struct crash_watch *w)
 {
 	int64_t now_ms = clock_ms();
 
-	if (judges(w))
+	if (decides(w))
 		crash_ledger_judge(&w->ledger, now_ms);
 	send_due(w, true, now_ms);
 	send_due(w, false, now_ms);
@@ -246,6 +249,7 @@
 		crash_record_put(&w->record, &news);
 }
 
+/* Handles a change of a case in the ledger. */
 static void on_change(void *priv, const struct crash_case *c,
 		      enum crash_change change, int64_t now_ms)
 {
@@ -296,6 +300,7 @@
 	crash_ledger_end(&w->ledger, news->digest, news->detail, now_ms);
 }
 
+/* Applies one item of news to the ledger. */
 static void apply(struct crash_watch *w, const struct crash_news *news)
 {
 	int64_t now_ms = clock_ms();
@@ -322,6 +327,7 @@
 	apply(w, news);
 }
 
+/* Applies the news of another instance or of the store. */
 static void apply_all(struct crash_watch *w, const char *source,
 		      const GArray *news)
 {
--- a/control/ended_servers.c
+++ b/control/ended_servers.c
@@ -27,6 +27,7 @@
 	s->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 }
 
+/* Returns whether no backup can contain the server any more. */
 static gboolean is_expired(gpointer key, gpointer value, gpointer now_ms)
 {
 	const struct ended_server *x = value;
--- a/control/member_record.c
+++ b/control/member_record.c
@@ -8,6 +8,7 @@
 
 enum { RETRY_MS = 300, RETRY_MAX_MS = 1500 };
 
+/* Writes this instance's record, then lists all. */
 static void next_call(struct member_record *m)
 {
 	struct buf value = {0};
@@ -35,6 +36,7 @@
 	ev_timer_start(m->loop, &m->retry);
 }
 
+/* Applies one page of the listing. */
 static void apply_members(struct member_record *m, const struct store_result *r)
 {
 	for (size_t i = 0; i < r->nrecords; i++) {
@@ -53,6 +55,7 @@
 	}
 }
 
+/* Continues with the next step, or retries this one after a failure. */
 static void on_done(void *priv, const struct store_result *r)
 {
 	struct member_record *m = priv;
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -16,6 +16,7 @@
 	ROLL_WHOLE_MS = 1500,
 };
 
+/* Sends a datagram that does not count as a heartbeat. */
 static void send_plain(struct peer_channel *ch, const struct buf *b,
 		       const struct peer *p)
 {
@@ -201,6 +202,7 @@
 	roll_clear(&r);
 }
 
+/* Compares the digest of a roll; if it differs, requests the full roll. */
 static void apply_digest(struct peer_channel *ch,
 			 const struct gossip_message *m, int64_t now_ms)
 {
@@ -228,6 +230,7 @@
 	}
 }
 
+/* Applies a roll and asks for details of the members it adds. */
 static void apply_roll(struct peer_channel *ch, const struct gossip_message *m,
 		       int64_t now_ms)
 {
@@ -239,6 +242,7 @@
 	g_array_unref(unknown);
 }
 
+/* Answers a request for a member's details. */
 static void reply_person(struct peer_channel *ch,
 			 const struct gossip_message *m, int64_t now_ms)
 {
@@ -272,6 +276,7 @@
 	buf_free(&b);
 }
 
+/* Handles membership messages, then passes each message to the owner. */
 static void on_message(struct peer_channel *ch, const struct gossip_message *m)
 {
 	int64_t now_ms = clock_ms();
@@ -292,6 +297,7 @@
 	ch->received(ch->priv, m);
 }
 
+/* Reads and decodes pending datagrams. */
 static void on_readable(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct peer_channel *ch = io->data;
--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -84,6 +84,7 @@
 	return 200;
 }
 
+/* Handles a request of a peer. */
 static void on_request(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct http_reply r = {.close = true};
@@ -132,6 +133,7 @@
 		config_watch_read(in->config);
 }
 
+/* Accepts any response: only one request is pending. */
 static enum http_verdict accept_response(void *priv,
 					 const struct http_message *m)
 {
@@ -151,6 +153,7 @@
 		config_watch_read(in->config);
 }
 
+/* Applies the response of a peer. */
 static void on_response(void *priv, struct http_message *m)
 {
 	struct peer_fetch *in = priv;
@@ -176,6 +179,7 @@
 static const struct http_client_ops client_ops = {
 	.judge = accept_response, .response = on_response, .failed = on_failed};
 
+/* Sends a request to a peer. Returns 0 or a negative errno. */
 static int send_request(struct peer_fetch *in, const struct peer_info *peer,
 			struct lstr path)
 {
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -61,6 +61,7 @@
 	return 1;
 }
 
+/* Adds the records of live instances that aren't stored. */
 static unsigned add_members(const struct record_check *r, struct buf *batch,
 			    int64_t now_ms)
 {
@@ -156,6 +157,7 @@
 	clear_listing(r);
 }
 
+/* Applies one page of the listing and compares after the last one. */
 static void on_listed(struct record_check *r, const struct store_result *res)
 {
 	for (size_t i = 0; i < res->nrecords; i++)
@@ -166,6 +168,7 @@
 		compare(r, clock_ms());
 }
 
+/* Handles the result of the listing or of the write. */
 static void on_done(void *priv, const struct store_result *res)
 {
 	struct record_check *r = priv;
