--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -66,10 +66,7 @@
 	bool small = in->config->record.len <= CONFIG_MAX;
 	bool version = lstr_eq(path, CONFIG_PATH);
 
-	/*
-	 * Configurations aren't limited: they are small and requested by all at
-	 * once.
-	 */
+	/* All ask for a small configuration at once, so it isn't limited. */
 	if (!in->peers->self.ready ||
 	    (!version && in->server.nconns > CONCURRENT_ANSWERS_MAX))
 		return 503;
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -19,6 +19,7 @@
 	BATCH_MAX = 1 << 20,
 };
 
+/* Drops the records of the last listing. */
 static void clear_listing(struct record_check *r)
 {
 	g_hash_table_remove_all(r->boots);
