--- a/caller/own.c
+++ b/caller/own.c
@@ -168,7 +168,7 @@
 			     const struct service_opts *s, struct lstr id,
 			     const char *key)
 {
-	struct dedup_seen seen = {0};
+	struct dedup_result seen = {0};
 	struct buf headers = {0};
 
 	if (dedup_begin(&t->dedup, s->name, key, &seen))
--- a/conf/build.c
+++ b/conf/build.c
@@ -78,9 +78,9 @@
 	r->target_ms = service_number(
 		v, "target_ms", o->name,
 		target > TARGET_LEAST_MS ? target : TARGET_LEAST_MS, f);
-	r->nparts = 1;
-	r->parts = arena_alloc(&c->arena, sizeof(*r->parts));
-	r->parts[0] = (struct route_part){s->name, 1};
+	r->nsplits = 1;
+	r->splits = arena_alloc(&c->arena, sizeof(*r->splits));
+	r->splits[0] = (struct route_split){s->name, 1};
 }
 
 static void build_drained(struct config *c, const struct conf_values *v)
@@ -114,7 +114,7 @@
 	for (guint i = 0; i < d->services->len; i++)
 		build_service(c, d, v, i, f);
 	build_drained(c, v);
-	config_finish(c, f);
+	config_finalize(c, f);
 	if (f->list->len == before)
 		return c;
 	config_unref(c);
--- a/control/control.c
+++ b/control/control.c
@@ -176,7 +176,8 @@
 {
 	return a->instances == b->instances &&
 	       same_array(a->named, b->named, sizeof(struct peer_brief)) &&
-	       same_array(a->sharers, b->sharers, sizeof(struct limit_sharer));
+	       same_array(a->sharers, b->sharers,
+			  sizeof(struct limit_instance));
 }
 
 static void clear_view(struct peer_view *v)
@@ -193,7 +194,7 @@
 	bool known = c->record.listed || now_ms - c->started_ms > ACQUAINTED_MS;
 
 	if (!known)
-		return g_array_new(FALSE, FALSE, sizeof(struct limit_sharer));
+		return g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
 	return peers_sharers(&c->peers.peers,
 			     (uint32_t)(c->settings.bounds.grace_s * 1000),
 			     now_ms);
--- a/control/control.h
+++ b/control/control.h
@@ -27,27 +27,28 @@
 	TO_TRAFFIC_LOAD = 5,	   /* struct peer_load * */
 	TO_TRAFFIC_STOP = 4,	   /* nothing: stop as planned */
 	TO_TRAFFIC_VERDICT = 7,	   /* struct verdict * */
-	TO_TRAFFIC_LIMITS = 8,	   /* struct limit_news * */
-	TO_TRAFFIC_LIMIT_CALL = 9, /* struct limit_call * */
-	TO_TRAFFIC_DRAIN = 10,	   /* struct drain_news * */
+	TO_TRAFFIC_LIMITS = 8,	   /* struct limit_gossip * */
+	TO_TRAFFIC_LIMIT_CALL = 9, /* struct limit_borrow_msg * */
+	TO_TRAFFIC_DRAIN = 10,	   /* struct drain_gossip * */
 	TO_TRAFFIC_BOUNDS = 6,	   /* struct bounds *, of changed settings */
 };
 
 /* Messages from the traffic thread; the receiver owns the data. */
 enum from_traffic {
-	FROM_TRAFFIC_STOPPED = 1,    /* nothing: all is served */
-	FROM_TRAFFIC_CRASH = 3,	     /* struct crash_news * */
-	FROM_TRAFFIC_LOAD = 2,	     /* struct peer_load *, without a name */
-	FROM_TRAFFIC_LIMITS = 4,     /* struct limit_news *, without a name */
-	FROM_TRAFFIC_DRAIN = 6,	     /* struct drain_news *, without a name */
-	FROM_TRAFFIC_LIMIT_CALL = 5, /* struct limit_call *, without `from` */
+	FROM_TRAFFIC_STOPPED = 1, /* nothing: all is served */
+	FROM_TRAFFIC_CRASH = 3,	  /* struct crash_news * */
+	FROM_TRAFFIC_LOAD = 2,	  /* struct peer_load *, without a name */
+	FROM_TRAFFIC_LIMITS = 4,  /* struct limit_gossip *, without a name */
+	FROM_TRAFFIC_DRAIN = 6,	  /* struct drain_gossip *, without a name */
+	FROM_TRAFFIC_LIMIT_CALL =
+		5, /* struct limit_borrow_msg *, without `from` */
 };
 
 /* What the traffic thread needs of the peers. */
 struct peer_view {
 	unsigned instances; /* that share the system's allowances */
 	GArray *named;	    /* struct peer_brief, those that callers may use */
-	/* struct limit_sharer, see peers_sharers(); empty: not known yet */
+	/* struct limit_instance, see peers_sharers(); empty: not known yet */
 	GArray *sharers;
 };
 
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -45,7 +45,7 @@
 			       VERDICT_REFUSE},
 	[CRASH_TRIAL] = {"trial", EV_CRASH_TRIAL, VERDICT_TRIAL},
 	[CRASH_RELEASED] = {"released", EV_CRASH_RELEASED, VERDICT_CLEAR},
-	[CRASH_FORGOTTEN] = {"forgotten", EV_CRASH_RELEASED, VERDICT_CLEAR},
+	[CRASH_EXPIRED] = {"forgotten", EV_CRASH_RELEASED, VERDICT_CLEAR},
 };
 
 static void log_change(const struct crash_watch *w, const struct crash_case *c,
@@ -56,7 +56,7 @@
 		 "last_end_ago_ms=%" G_GINT64_FORMAT
 		 " next_in_ms=%" G_GINT64_FORMAT " cases=%u",
 		 c->digest, changes[what].name, w->teller ? w->teller : "-",
-		 c->nends, c->terms, now_ms - c->last_end_ms,
+		 c->nservers, c->periods, now_ms - c->last_crash_ms,
 		 c->due_ms ? c->due_ms - now_ms : 0,
 		 g_hash_table_size(w->ledger.cases));
 }
@@ -146,7 +146,7 @@
 
 static void arm(struct crash_watch *w, int64_t now_ms)
 {
-	int64_t due = judges(w) ? crash_ledger_due_ms(&w->ledger) : 0;
+	int64_t due = judges(w) ? crash_tracker_due_ms(&w->ledger) : 0;
 
 	for (guint i = 0; i < w->tellings->len; i++) {
 		int64_t next =
@@ -166,7 +166,7 @@
 	int64_t now_ms = clock_ms();
 
 	if (judges(w))
-		crash_ledger_judge(&w->ledger, now_ms);
+		crash_tracker_decide(&w->ledger, now_ms);
 	send_due(w, true, now_ms);
 	send_due(w, false, now_ms);
 	plan_again(w, now_ms);
@@ -210,7 +210,8 @@
 
 static struct crash_news verdict_news(const struct crash_case *c)
 {
-	return (struct crash_news){CRASH_NEWS_QUARANTINE, c->digest, c->terms};
+	return (struct crash_news){CRASH_NEWS_QUARANTINE, c->digest,
+				   c->periods};
 }
 
 /*
@@ -221,7 +222,7 @@
 {
 	struct crash_news news = verdict_news(c);
 
-	if (c->terms > 1 || w->rank >= HUBS)
+	if (c->periods > 1 || w->rank >= HUBS)
 		return;
 	if (!w->from_store)
 		crash_record_put(&w->record, &news);
@@ -255,7 +256,7 @@
 	tell_traffic(w, c, what);
 	if (what == CRASH_QUARANTINED)
 		announce(w, c);
-	else if (what == CRASH_RELEASED || what == CRASH_FORGOTTEN)
+	else if (what == CRASH_RELEASED || what == CRASH_EXPIRED)
 		drop_record(w, c, what);
 }
 
@@ -264,7 +265,7 @@
 			int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_ledger_find(&w->ledger, news->digest);
+		crash_tracker_find(&w->ledger, news->digest);
 	bool verdict = c && c->quarantined;
 
 	if (!c)
@@ -273,7 +274,7 @@
 	/* In a large system the hubs pass on what ends a verdict of theirs. */
 	if (!w->teller || (verdict && w->many && w->rank < HUBS))
 		tell(w, news, verdict ? VERDICT_TELLS : EVIDENCE_TELLS);
-	crash_ledger_answered(&w->ledger, news->digest, now_ms);
+	crash_tracker_add_answer(&w->ledger, news->digest, now_ms);
 }
 
 /* One that tells of an end doesn't know the verdict yet. */
@@ -281,7 +282,7 @@
 		     int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_ledger_find(&w->ledger, news->digest);
+		crash_tracker_find(&w->ledger, news->digest);
 	struct crash_news verdict;
 
 	if (c && c->quarantined && w->teller && w->rank < HUBS) {
@@ -290,7 +291,7 @@
 	}
 	if (!w->teller)
 		tell(w, news, EVIDENCE_TELLS);
-	crash_ledger_end(&w->ledger, news->digest, news->detail, now_ms);
+	crash_tracker_add_crash(&w->ledger, news->digest, news->detail, now_ms);
 }
 
 static void take(struct crash_watch *w, const struct crash_news *news)
@@ -305,8 +306,8 @@
 		take_answer(w, news, now_ms);
 		break;
 	case CRASH_NEWS_QUARANTINE:
-		crash_ledger_quarantine(&w->ledger, news->digest, news->detail,
-					now_ms);
+		crash_tracker_quarantine(&w->ledger, news->digest, news->detail,
+					 now_ms);
 		break;
 	}
 	arm(w, now_ms);
@@ -383,7 +384,7 @@
 	if (w->joins != w->channel->joins && rank < HUBS)
 		tell_verdicts(w);
 	w->joins = w->channel->joins;
-	crash_ledger_tick(&w->ledger, rank == 0, clock_ms());
+	crash_tracker_tick(&w->ledger, rank == 0, clock_ms());
 	/* It may be one of those that judge by now. */
 	arm(w, clock_ms());
 }
@@ -404,7 +405,7 @@
 	w->verdict = verdict;
 	w->priv = priv;
 	w->tellings = g_array_new(FALSE, FALSE, sizeof(struct telling));
-	crash_ledger_init(&w->ledger, on_change, w);
+	crash_tracker_init(&w->ledger, on_change, w);
 	crash_record_start(&w->record, loop, store, &channel->peers.self);
 	ev_init(&w->due, on_due);
 	w->due.data = w;
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -18,7 +18,7 @@
 
 struct crash_watch {
 	struct ev_loop *loop;
-	struct crash_ledger ledger;
+	struct crash_tracker ledger;
 	struct peer_channel *channel;
 	struct crash_record record;
 	ev_timer due;	    /* of the next judgement or telling */
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -91,7 +91,7 @@
  * peer_channel_call() sends a grant to the one it is for; a question to the one
  * that is named, if it lives, and to another.
  */
-void peer_channel_call(struct peer_channel *ch, struct limit_call *call,
+void peer_channel_call(struct peer_channel *ch, struct limit_borrow_msg *call,
 		       int64_t now_ms)
 {
 	const struct peer *named = hubs_find(&ch->peers, call->to);
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -37,7 +37,7 @@
 			     int64_t now_ms);
 void peer_channel_send_hubs(struct peer_channel *ch, const struct buf *b,
 			    int64_t now_ms);
-void peer_channel_call(struct peer_channel *ch, struct limit_call *call,
+void peer_channel_call(struct peer_channel *ch, struct limit_borrow_msg *call,
 		       int64_t now_ms);
 void peer_channel_beat_live(struct peer_channel *ch, int64_t now_ms);
 void peer_channel_beat_all(struct peer_channel *ch, int64_t now_ms);
--- a/control/relay.c
+++ b/control/relay.c
@@ -34,8 +34,8 @@
 void relay_from_traffic(struct control *c, enum from_traffic kind, void *data)
 {
 	uint32_t self = peer_id(c->peers.peers.self.name);
-	struct drain_news *drain = data;
-	struct limit_news *limits = data;
+	struct drain_gossip *drain = data;
+	struct limit_gossip *limits = data;
 	struct peer_load *load = data;
 	struct buf b = {0};
 
--- a/core/ask_budget.h
+++ b/core/ask_budget.h
@@ -8,21 +8,21 @@
 
 #include <stdint.h>
 
-struct ask_rule {
+struct probe_rate {
 	double per_server_s; /* questions a server and second, of all */
 	unsigned instances;  /* that share them */
 };
 
-struct ask_budget {
-	double tokens; /* below zero: first questions went ahead of time */
-	int64_t at_ms; /* tokens are right as of then */
-	int64_t began_ms;
+struct probe_budget {
+	double tokens;	    /* below zero: first questions went ahead of time */
+	int64_t updated_ms; /* tokens are right as of then */
+	int64_t started_ms;
 };
 
-void ask_budget_init(struct ask_budget *b, int64_t now_ms);
+void probe_budget_init(struct probe_budget *b, int64_t now_ms);
 
-unsigned ask_budget_take(struct ask_budget *b, const struct ask_rule *r,
-			 unsigned servers, unsigned want, unsigned least,
-			 int64_t now_ms);
+unsigned probe_budget_take(struct probe_budget *b, const struct probe_rate *r,
+			   unsigned servers, unsigned want, unsigned least,
+			   int64_t now_ms);
 
 #endif
--- a/core/availability.c
+++ b/core/availability.c
@@ -54,7 +54,7 @@
 		return HOLD_RESUMING;
 	if (!s->limit)
 		return !s->was_free && b->in_flight ? HOLD_UNKNOWN : HOLD_NONE;
-	if (!s->limit->said.named)
+	if (!s->limit->said.limited)
 		return HOLD_NONE;
 	/* A limit is reserved for requests without another copy. */
 	return kind == SEND_HEDGE || !has_limit_left(s->limit, now_ms)
--- a/core/backend.c
+++ b/core/backend.c
@@ -122,7 +122,7 @@
 /* backend_is_limited() tells whether b names a limit, as far as is known. */
 bool backend_is_limited(const struct backend *b)
 {
-	return b->state->limit && b->state->limit->said.named;
+	return b->state->limit && b->state->limit->said.limited;
 }
 
 static struct backend *add_backend(struct backend_set *s,
--- a/core/backend.h
+++ b/core/backend.h
@@ -81,12 +81,12 @@
 	GPtrArray *backends; /* struct backend *, those on the list */
 	enum load_support load_support;
 	struct retry_budget budget;
-	struct budget_account account; /* of this lifetime */
+	struct budget_stats account; /* of this lifetime */
 	const struct place_policy *policy;
 	struct service_model model; /* what its servers' answers showed */
-	int64_t pressed_ms;	/* room was missed by then, see core/admit.h */
-	GQueue waiting;		/* requests that found no room, best first */
-	struct limit_want want; /* what is asked of peers, see there */
+	int64_t pressed_ms; /* room was missed by then, see core/admit.h */
+	GQueue waiting;	    /* requests that found no room, best first */
+	struct limit_borrow want; /* what is asked of peers, see there */
 	int64_t promised_ms; /* turns up to then are promised, see retry_after */
 };
 
--- a/core/budget.c
+++ b/core/budget.c
@@ -3,7 +3,7 @@
 #include "common/event.h"
 #include "core/budget.h"
 
-_Static_assert(BUDGET_CELLS > 2 * BUDGET_CELLS_A_WINDOW + 1,
+_Static_assert(BUDGET_INTERVALS > 2 * BUDGET_INTERVALS_PER_WINDOW + 1,
 	       "cells reach back two windows");
 
 /* The windows whose requests count, each for a third. */
@@ -22,32 +22,33 @@
 	b->rounding = rounding;
 }
 
-static int64_t cell_ms(const struct budget_rule *r)
+static int64_t cell_ms(const struct budget_params *r)
 {
-	int64_t ms = (r->window_ms + BUDGET_CELLS_A_WINDOW - 1) /
-		     BUDGET_CELLS_A_WINDOW;
+	int64_t ms = (r->window_ms + BUDGET_INTERVALS_PER_WINDOW - 1) /
+		     BUDGET_INTERVALS_PER_WINDOW;
 
 	return ms > 0 ? ms : 1;
 }
 
 static int64_t cell_number(const struct retry_budget *b,
-			   const struct budget_rule *r, int64_t now_ms)
+			   const struct budget_params *r, int64_t now_ms)
 {
 	int64_t cell = now_ms / cell_ms(r);
 
-	return cell > b->cell ? cell : b->cell;
+	return cell > b->newest ? cell : b->newest;
 }
 
 static unsigned slot(int64_t cell)
 {
-	return (unsigned)((uint64_t)cell % BUDGET_CELLS);
+	return (unsigned)((uint64_t)cell % BUDGET_INTERVALS);
 }
 
 /* What cell number `cell` holds; nothing is kept of cells long past. */
 static uint32_t content(const struct retry_budget *b, const uint32_t *cells,
 			int64_t cell)
 {
-	if (cell < 0 || cell > b->cell || b->cell - cell >= BUDGET_CELLS)
+	if (cell < 0 || cell > b->newest ||
+	    b->newest - cell >= BUDGET_INTERVALS)
 		return 0;
 	return cells[slot(cell)];
 }
@@ -63,41 +64,41 @@
 }
 
 /* Another window: cells of another width say nothing, so it begins anew. */
-static void take_window(struct retry_budget *b, const struct budget_rule *r)
+static void take_window(struct retry_budget *b, const struct budget_params *r)
 {
-	uint32_t out = b->out;
+	uint32_t out = b->in_flight;
 
 	if (b->window_ms == r->window_ms)
 		return;
 	budget_init(b, b->rounding);
-	b->out = out;
+	b->in_flight = out;
 	b->window_ms = r->window_ms;
 }
 
 /* Moves on to the cell of now_ms and clears those passed over. */
-static unsigned advance(struct retry_budget *b, const struct budget_rule *r,
+static unsigned advance(struct retry_budget *b, const struct budget_params *r,
 			int64_t now_ms)
 {
 	int64_t cell, first;
 
 	take_window(b, r);
 	cell = cell_number(b, r, now_ms);
-	first = b->cell + 1;
-	if (b->born == 0)
-		b->born = cell;
-	if (first < cell - BUDGET_CELLS)
-		first = cell - BUDGET_CELLS;
+	first = b->newest + 1;
+	if (b->first_interval == 0)
+		b->first_interval = cell;
+	if (first < cell - BUDGET_INTERVALS)
+		first = cell - BUDGET_INTERVALS;
 	for (int64_t i = first; i <= cell; i++) {
 		b->requests[slot(i)] = 0;
 		b->ended[slot(i)] = 0;
 	}
-	b->cell = cell;
+	b->newest = cell;
 	return slot(cell);
 }
 
-/* budget_request() counts a request for the service. */
-void budget_request(struct retry_budget *b, const struct budget_rule *r,
-		    int64_t now_ms)
+/* budget_add_request() counts a request for the service. */
+void budget_add_request(struct retry_budget *b, const struct budget_params *r,
+			int64_t now_ms)
 {
 	b->requests[advance(b, r, now_ms)]++;
 }
@@ -108,35 +109,36 @@
  */
 void budget_spend(struct retry_budget *b)
 {
-	b->out++;
+	b->in_flight++;
 }
 
-/* budget_end() says that an extra send has ended, answered or not. */
-void budget_end(struct retry_budget *b, const struct budget_rule *r,
-		int64_t now_ms)
+/* budget_send_done() says that an extra send has ended, answered or not. */
+void budget_send_done(struct retry_budget *b, const struct budget_params *r,
+		      int64_t now_ms)
 {
-	mp_invariant(b->out > 0, "an extra send ended that wasn't spent");
-	b->out--;
+	mp_invariant(b->in_flight > 0, "an extra send ended that wasn't spent");
+	b->in_flight--;
 	b->ended[advance(b, r, now_ms)]++;
 }
 
-/* budget_give_back() returns one that was taken, as it never left. */
-void budget_give_back(struct retry_budget *b)
+/* budget_refund() returns one that was taken, as it never left. */
+void budget_refund(struct retry_budget *b)
 {
-	mp_invariant(b->out > 0, "an extra send came back that wasn't spent");
-	b->out--;
+	mp_invariant(b->in_flight > 0,
+		     "an extra send came back that wasn't spent");
+	b->in_flight--;
 }
 
 /* What a window that begins in cell `c` is given besides what requests pay. */
-static double credit(const struct retry_budget *b, const struct budget_rule *r,
-		     int64_t c)
+static double credit(const struct retry_budget *b,
+		     const struct budget_params *r, int64_t c)
 {
 	double part =
 		r->slack * SLACK_SHARE / (r->instances ? r->instances : 1);
 
 	if (r->slack < 1)
 		return 0;
-	if (c <= b->born)
+	if (c <= b->first_interval)
 		return b->rounding;
 	return b->rounding + part < 1 ? b->rounding + part : 1;
 }
@@ -146,7 +148,7 @@
  * in the tightest of all windows that begin up to a window ago. Later ones
  * don't hold what is sent now.
  */
-double budget_left(const struct retry_budget *b, const struct budget_rule *r,
+double budget_left(const struct retry_budget *b, const struct budget_params *r,
 		   int64_t now_ms)
 {
 	int64_t now = cell_number(b, r, now_ms);
@@ -156,9 +158,9 @@
 	int64_t own = 0;
 	int64_t halfway = sum(b, b->requests, now - half + 1, now);
 	int64_t before = sum(b, b->requests, now - whole + 1, now - 1);
-	double sends = b->out, least = 0;
+	double sends = b->in_flight, least = 0;
 
-	for (int64_t c = now; c >= now - BUDGET_CELLS_A_WINDOW; c--) {
+	for (int64_t c = now; c >= now - BUDGET_INTERVALS_PER_WINDOW; c--) {
 		double paid =
 			r->ratio / WINDOWS * (double)(own + halfway + before);
 
@@ -175,7 +177,7 @@
 }
 
 /* budget_allows() tells whether one more extra send keeps to the rule. */
-bool budget_allows(const struct retry_budget *b, const struct budget_rule *r,
+bool budget_allows(const struct retry_budget *b, const struct budget_params *r,
 		   int64_t now_ms)
 {
 	return budget_left(b, r, now_ms) >= 1;
@@ -183,20 +185,21 @@
 
 /* budget_window() says what the newest window holds and still allows. */
 struct budget_window budget_window(const struct retry_budget *b,
-				   const struct budget_rule *r, int64_t now_ms)
+				   const struct budget_params *r,
+				   int64_t now_ms)
 {
 	int64_t now = cell_number(b, r, now_ms);
-	int64_t first = now - BUDGET_CELLS_A_WINDOW;
+	int64_t first = now - BUDGET_INTERVALS_PER_WINDOW;
 
 	return (struct budget_window){
 		.requests = (unsigned)sum(b, b->requests, first, now),
-		.spent = b->out + (unsigned)sum(b, b->ended, first, now),
+		.spent = b->in_flight + (unsigned)sum(b, b->ended, first, now),
 		.left = budget_left(b, r, now_ms),
 	};
 }
 
 /* budget_spent() adds up the extra sends of a lifetime. */
-uint64_t budget_spent(const struct budget_account *a)
+uint64_t budget_spent(const struct budget_stats *a)
 {
 	uint64_t sum = 0;
 
--- a/core/budget.h
+++ b/core/budget.h
@@ -43,15 +43,15 @@
 	 * full for sends and not at all for requests: with 100 a window that
 	 * costs 2 in 100 of what may be sent.
 	 */
-	BUDGET_CELLS_A_WINDOW = 100,
+	BUDGET_INTERVALS_PER_WINDOW = 100,
 	/*
 	 * Windows begin up to one before now, and look one further back; a
 	 * power of two, so that a cell is found by a mask.
 	 */
-	BUDGET_CELLS = 256,
+	BUDGET_INTERVALS = 256,
 };
 
-struct budget_rule {
+struct budget_params {
 	double ratio;
 	double slack;	    /* sends, of all instances together */
 	uint32_t window_ms; /* the window that the rule looks at */
@@ -60,19 +60,19 @@
 
 /* Times are by a clock that goes on while the machine is suspended. */
 struct retry_budget {
-	uint32_t requests[BUDGET_CELLS];
-	uint32_t ended[BUDGET_CELLS]; /* extra sends, by when they ended */
-	uint32_t window_ms;	      /* that the cells divide */
-	int64_t cell;		      /* number of the newest cell */
-	uint32_t out;		      /* extra sends that have not ended */
-	int64_t born;		      /* the cell of its first request */
-	double rounding;	      /* 0 to 1, of this lifetime */
+	uint32_t requests[BUDGET_INTERVALS];
+	uint32_t ended[BUDGET_INTERVALS]; /* extra sends, by when they ended */
+	uint32_t window_ms;		  /* that the cells divide */
+	int64_t newest;			  /* number of the newest cell */
+	uint32_t in_flight;		  /* extra sends that have not ended */
+	int64_t first_interval;		  /* the cell of its first request */
+	double rounding;		  /* 0 to 1, of this lifetime */
 };
 
 /* Why a request goes to one more server. */
 enum extra_cause {
 	EXTRA_RETRY,  /* the send before brought no answer */
-	EXTRA_SECOND, /* beside it, so that an answer can be on time */
+	EXTRA_HEDGE,  /* beside it, so that an answer can be on time */
 	EXTRA_RESCUE, /* beside it, as no answer may ever come */
 	EXTRA_CAUSES,
 };
@@ -81,7 +81,7 @@
  * What one lifetime of an instance did at a service, for logs and metrics. The
  * sums over all lifetimes are what the system's rule looks at.
  */
-struct budget_account {
+struct budget_stats {
 	uint64_t requests;
 	uint64_t spent[EXTRA_CAUSES];  /* sends beyond a request's first */
 	uint64_t denied[EXTRA_CAUSES]; /* wanted, but the budget was used up */
@@ -94,19 +94,20 @@
 };
 
 void budget_init(struct retry_budget *b, double rounding);
-void budget_request(struct retry_budget *b, const struct budget_rule *r,
-		    int64_t now_ms);
-bool budget_allows(const struct retry_budget *b, const struct budget_rule *r,
+void budget_add_request(struct retry_budget *b, const struct budget_params *r,
+			int64_t now_ms);
+bool budget_allows(const struct retry_budget *b, const struct budget_params *r,
 		   int64_t now_ms);
-double budget_left(const struct retry_budget *b, const struct budget_rule *r,
+double budget_left(const struct retry_budget *b, const struct budget_params *r,
 		   int64_t now_ms);
 void budget_spend(struct retry_budget *b);
-void budget_end(struct retry_budget *b, const struct budget_rule *r,
-		int64_t now_ms);
-void budget_give_back(struct retry_budget *b);
+void budget_send_done(struct retry_budget *b, const struct budget_params *r,
+		      int64_t now_ms);
+void budget_refund(struct retry_budget *b);
 struct budget_window budget_window(const struct retry_budget *b,
-				   const struct budget_rule *r, int64_t now_ms);
-uint64_t budget_spent(const struct budget_account *a);
+				   const struct budget_params *r,
+				   int64_t now_ms);
+uint64_t budget_spent(const struct budget_stats *a);
 const char *extra_cause_name(enum extra_cause cause);
 
 #endif
--- a/core/config.c
+++ b/core/config.c
@@ -56,13 +56,13 @@
 {
 	unsigned sum = 0;
 
-	for (size_t i = 0; i < r->nparts; i++) {
-		sum += r->parts[i].weight;
-		if (!config_service(c, r->parts[i].service))
+	for (size_t i = 0; i < r->nsplits; i++) {
+		sum += r->splits[i].weight;
+		if (!config_service(c, r->splits[i].service))
 			findings_add(f, "config", 0, key,
 				     "goes to an unknown service '%.*s'",
-				     (int)r->parts[i].service.len,
-				     r->parts[i].service.ptr);
+				     (int)r->splits[i].service.len,
+				     r->splits[i].service.ptr);
 	}
 	if (sum == 0)
 		findings_add(f, "config", 0, key, "goes to no service");
@@ -111,11 +111,11 @@
 }
 
 /*
- * config_finish() checks a version whose fields are filled and builds its
+ * config_finalize() checks a version whose fields are filled and builds its
  * index. Every problem becomes a finding; a version with any is not to be
  * used. Returns 0 or -EINVAL.
  */
-int config_finish(struct config *c, struct findings *f)
+int config_finalize(struct config *c, struct findings *f)
 {
 	guint before = f->list->len;
 
@@ -191,15 +191,15 @@
 {
 	uint64_t sum = 0, at;
 
-	for (size_t i = 0; i < r->nparts; i++)
-		sum += r->parts[i].weight;
+	for (size_t i = 0; i < r->nsplits; i++)
+		sum += r->splits[i].weight;
 	at = ((uint64_t)random * sum) >> 32;
-	for (size_t i = 0; i < r->nparts; i++) {
-		if (at < r->parts[i].weight)
-			return r->parts[i].service;
-		at -= r->parts[i].weight;
+	for (size_t i = 0; i < r->nsplits; i++) {
+		if (at < r->splits[i].weight)
+			return r->splits[i].service;
+		at -= r->splits[i].weight;
 	}
-	return r->parts[0].service;
+	return r->splits[0].service;
 }
 
 /* config_ref() takes one more reference. */
--- a/core/config.h
+++ b/core/config.h
@@ -15,7 +15,7 @@
 #include "misc/findings.h"
 
 /* Part of a route's traffic that goes to one service. */
-struct route_part {
+struct route_split {
 	struct lstr service;
 	unsigned weight;
 };
@@ -29,8 +29,8 @@
 	unsigned priority;	 /* 0 is the most important */
 	uint32_t timeout_ms;	 /* longest time to a final answer */
 	uint32_t target_ms;	 /* answers within it are on time */
-	struct route_part *parts;
-	size_t nparts;
+	struct route_split *splits;
+	size_t nsplits;
 };
 
 struct place_policy;
@@ -62,7 +62,7 @@
 };
 
 struct config *config_new(void);
-int config_finish(struct config *c, struct findings *f);
+int config_finalize(struct config *c, struct findings *f);
 const struct route *config_match(const struct config *c, struct lstr host,
 				 struct lstr path);
 const struct service_config *config_service(const struct config *c,
--- a/core/crash_ledger.c
+++ b/core/crash_ledger.c
@@ -34,11 +34,11 @@
 	CASES_MAX = 512,
 };
 
-/* crash_ledger_init() makes an empty one; `changed` hears of each verdict. */
-void crash_ledger_init(struct crash_ledger *l,
-		       void (*changed)(void *priv, const struct crash_case *c,
-				       enum crash_change what, int64_t now_ms),
-		       void *priv)
+/* crash_tracker_init() makes an empty one; `changed` hears of each verdict. */
+void crash_tracker_init(struct crash_tracker *l,
+			void (*changed)(void *priv, const struct crash_case *c,
+					enum crash_change what, int64_t now_ms),
+			void *priv)
 {
 	l->cases = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					 g_free);
@@ -46,26 +46,26 @@
 	l->priv = priv;
 }
 
-/* crash_ledger_free() frees what it holds. */
-void crash_ledger_free(struct crash_ledger *l)
+/* crash_tracker_free() frees what it holds. */
+void crash_tracker_free(struct crash_tracker *l)
 {
 	g_hash_table_unref(l->cases);
 }
 
-static struct crash_case *find(const struct crash_ledger *l, uint64_t digest)
+static struct crash_case *find(const struct crash_tracker *l, uint64_t digest)
 {
 	return g_hash_table_lookup(l->cases, &digest);
 }
 
-/* crash_ledger_find() returns what is held against a request, or NULL. */
-const struct crash_case *crash_ledger_find(const struct crash_ledger *l,
-					   uint64_t digest)
+/* crash_tracker_find() returns what is held against a request, or NULL. */
+const struct crash_case *crash_tracker_find(const struct crash_tracker *l,
+					    uint64_t digest)
 {
 	return find(l, digest);
 }
 
 /* Drops a case; its holder hears of it first. */
-static void drop(struct crash_ledger *l, struct crash_case *c,
+static void drop(struct crash_tracker *l, struct crash_case *c,
 		 enum crash_change why, int64_t now_ms)
 {
 	l->changed(l->priv, c, why, now_ms);
@@ -77,10 +77,10 @@
 {
 	if (a->quarantined != b->quarantined)
 		return b->quarantined;
-	return a->last_end_ms < b->last_end_ms;
+	return a->last_crash_ms < b->last_crash_ms;
 }
 
-static void make_room(struct crash_ledger *l, int64_t now_ms)
+static void make_room(struct crash_tracker *l, int64_t now_ms)
 {
 	struct crash_case *first = NULL;
 	GHashTableIter it;
@@ -93,10 +93,10 @@
 		if (!first || goes_before(v, first))
 			first = v;
 	}
-	drop(l, first, CRASH_FORGOTTEN, now_ms);
+	drop(l, first, CRASH_EXPIRED, now_ms);
 }
 
-static struct crash_case *find_or_add(struct crash_ledger *l, uint64_t digest,
+static struct crash_case *find_or_add(struct crash_tracker *l, uint64_t digest,
 				      int64_t now_ms)
 {
 	struct crash_case *c = find(l, digest);
@@ -112,8 +112,8 @@
 
 static bool has_end(const struct crash_case *c, uint32_t server)
 {
-	for (unsigned i = 0; i < c->nends; i++) {
-		if (c->ends[i] == server)
+	for (unsigned i = 0; i < c->nservers; i++) {
+		if (c->servers[i] == server)
 			return true;
 	}
 	return false;
@@ -121,26 +121,26 @@
 
 static void add_end(struct crash_case *c, uint32_t server)
 {
-	if (c->nends == CRASH_ENDS_MAX)
-		memmove(c->ends, c->ends + 1,
-			(CRASH_ENDS_MAX - 1) * sizeof(*c->ends));
+	if (c->nservers == CRASH_SERVERS_MAX)
+		memmove(c->servers, c->servers + 1,
+			(CRASH_SERVERS_MAX - 1) * sizeof(*c->servers));
 	else
-		c->nends++;
-	c->ends[c->nends - 1] = server;
+		c->nservers++;
+	c->servers[c->nservers - 1] = server;
 }
 
 /* Tells whether `a` was at each of the ended servers that `b` was at. */
 static bool covers(const struct crash_case *a, const struct crash_case *b)
 {
-	for (unsigned i = 0; i < b->nends; i++) {
-		if (!has_end(a, b->ends[i]))
+	for (unsigned i = 0; i < b->nservers; i++) {
+		if (!has_end(a, b->servers[i]))
 			return false;
 	}
 	return true;
 }
 
 /* Tells whether a verdict accounts for the end of a server. */
-static bool is_explained(const struct crash_ledger *l, uint32_t server)
+static bool is_explained(const struct crash_tracker *l, uint32_t server)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -160,17 +160,17 @@
 {
 	unsigned n = 0;
 
-	for (unsigned i = 0; i < c->nends; i++) {
-		if (!has_end(culprit, c->ends[i]))
-			c->ends[n++] = c->ends[i];
+	for (unsigned i = 0; i < c->nservers; i++) {
+		if (!has_end(culprit, c->servers[i]))
+			c->servers[n++] = c->servers[i];
 	}
-	c->nends = n;
+	c->nservers = n;
 	if (n < PROOF_ENDS)
 		c->due_ms = 0;
 }
 
 /* Clears all others of the ends that the culprit accounts for. */
-static void clear_others(struct crash_ledger *l,
+static void clear_others(struct crash_tracker *l,
 			 const struct crash_case *culprit, int64_t now_ms)
 {
 	GHashTableIter it;
@@ -183,7 +183,7 @@
 		if (c->quarantined)
 			continue;
 		clear_ends(c, culprit);
-		if (c->nends)
+		if (c->nservers)
 			continue;
 		l->changed(l->priv, c, CRASH_RELEASED, now_ms);
 		g_hash_table_iter_remove(&it);
@@ -199,22 +199,22 @@
 	return ms < TERM_MAX_MS ? ms : TERM_MAX_MS;
 }
 
-static void quarantine(struct crash_ledger *l, struct crash_case *c,
+static void quarantine(struct crash_tracker *l, struct crash_case *c,
 		       unsigned terms, int64_t now_ms)
 {
 	c->quarantined = true;
-	c->terms = terms;
+	c->periods = terms;
 	c->due_ms = now_ms + term_ms(terms);
 	l->changed(l->priv, c, CRASH_QUARANTINED, now_ms);
 	clear_others(l, c, now_ms);
 }
 
 /*
- * crash_ledger_end() takes in that a server ended while it had the request.
+ * crash_tracker_add_crash() takes in that a server ended while it had the request.
  * Each server counts once, whoever tells of it and how often.
  */
-void crash_ledger_end(struct crash_ledger *l, uint64_t digest, uint32_t server,
-		      int64_t now_ms)
+void crash_tracker_add_crash(struct crash_tracker *l, uint64_t digest,
+			     uint32_t server, int64_t now_ms)
 {
 	struct crash_case *c = find(l, digest);
 
@@ -224,34 +224,34 @@
 		return;
 	c = find_or_add(l, digest, now_ms);
 	add_end(c, server);
-	c->last_end_ms = now_ms;
+	c->last_crash_ms = now_ms;
 	if (c->quarantined) {
 		clear_others(l, c, now_ms);
 		return;
 	}
-	if (c->nends >= PROOF_ENDS)
+	if (c->nservers >= PROOF_ENDS)
 		c->due_ms = now_ms + JUDGE_MS;
 	l->changed(l->priv, c, CRASH_SUSPECTED, now_ms);
 }
 
 /*
- * crash_ledger_quarantine() takes over another instance's verdict, with the
+ * crash_tracker_quarantine() takes over another instance's verdict, with the
  * number of terms that it knows of.
  */
-void crash_ledger_quarantine(struct crash_ledger *l, uint64_t digest,
-			     unsigned terms, int64_t now_ms)
+void crash_tracker_quarantine(struct crash_tracker *l, uint64_t digest,
+			      unsigned terms, int64_t now_ms)
 {
 	struct crash_case *c = find_or_add(l, digest, now_ms);
 
 	if (c->quarantined)
 		return;
-	if (!c->last_end_ms)
-		c->last_end_ms = now_ms;
+	if (!c->last_crash_ms)
+		c->last_crash_ms = now_ms;
 	quarantine(l, c, terms ? terms : 1, now_ms);
 }
 
 /* One that stood beside is out of it: the others may be clear by now. */
-static void judge_again(struct crash_ledger *l, int64_t now_ms)
+static void judge_again(struct crash_tracker *l, int64_t now_ms)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -260,17 +260,17 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct crash_case *c = v;
 
-		if (!c->quarantined && c->nends >= PROOF_ENDS && !c->due_ms)
+		if (!c->quarantined && c->nservers >= PROOF_ENDS && !c->due_ms)
 			c->due_ms = now_ms + JUDGE_MS;
 	}
 }
 
 /*
- * crash_ledger_answered() takes in that a server has run the request and
+ * crash_tracker_add_answer() takes in that a server has run the request and
  * answered: it doesn't end all that run it.
  */
-void crash_ledger_answered(struct crash_ledger *l, uint64_t digest,
-			   int64_t now_ms)
+void crash_tracker_add_answer(struct crash_tracker *l, uint64_t digest,
+			      int64_t now_ms)
 {
 	struct crash_case *c = find(l, digest);
 
@@ -281,7 +281,7 @@
 }
 
 /* Tells whether some other request was wherever `c` was. */
-static bool is_ambiguous(const struct crash_ledger *l,
+static bool is_ambiguous(const struct crash_tracker *l,
 			 const struct crash_case *c)
 {
 	GHashTableIter it;
@@ -297,7 +297,7 @@
 	return false;
 }
 
-static struct crash_case *next_to_judge(const struct crash_ledger *l,
+static struct crash_case *next_to_judge(const struct crash_tracker *l,
 					int64_t now_ms)
 {
 	GHashTableIter it;
@@ -314,10 +314,10 @@
 }
 
 /*
- * crash_ledger_judge() reaches the verdicts that are due. One may clear others,
+ * crash_tracker_decide() reaches the verdicts that are due. One may clear others,
  * so each is judged on what is left.
  */
-void crash_ledger_judge(struct crash_ledger *l, int64_t now_ms)
+void crash_tracker_decide(struct crash_tracker *l, int64_t now_ms)
 {
 	struct crash_case *c;
 
@@ -330,11 +330,11 @@
 
 static bool is_forgotten(const struct crash_case *c, int64_t now_ms)
 {
-	return now_ms - c->last_end_ms >=
+	return now_ms - c->last_crash_ms >=
 	       (c->quarantined ? FORGET_MS : SUSPECT_MS);
 }
 
-static void forget(struct crash_ledger *l, int64_t now_ms)
+static void forget(struct crash_tracker *l, int64_t now_ms)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -343,13 +343,13 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		if (!is_forgotten(v, now_ms))
 			continue;
-		l->changed(l->priv, v, CRASH_FORGOTTEN, now_ms);
+		l->changed(l->priv, v, CRASH_EXPIRED, now_ms);
 		g_hash_table_iter_remove(&it);
 	}
 }
 
 /* A term is over: the next begins with a trial by the instance that tries. */
-static void end_terms(struct crash_ledger *l, bool tries, int64_t now_ms)
+static void end_terms(struct crash_tracker *l, bool tries, int64_t now_ms)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -360,25 +360,25 @@
 
 		if (!c->quarantined || c->due_ms > now_ms)
 			continue;
-		c->terms++;
-		c->due_ms = now_ms + term_ms(c->terms);
+		c->periods++;
+		c->due_ms = now_ms + term_ms(c->periods);
 		l->changed(l->priv, c, tries ? CRASH_TRIAL : CRASH_QUARANTINED,
 			   now_ms);
 	}
 }
 
 /*
- * crash_ledger_tick() ends terms and forgets what is old. `tries`: this instance is the one of
+ * crash_tracker_tick() ends terms and forgets what is old. `tries`: this instance is the one of
  * all that lets a copy through when a term is over.
  */
-void crash_ledger_tick(struct crash_ledger *l, bool tries, int64_t now_ms)
+void crash_tracker_tick(struct crash_tracker *l, bool tries, int64_t now_ms)
 {
 	end_terms(l, tries, now_ms);
 	forget(l, now_ms);
 }
 
-/* crash_ledger_due_ms() tells when the next judgement is due; 0: none is. */
-int64_t crash_ledger_due_ms(const struct crash_ledger *l)
+/* crash_tracker_due_ms() tells when the next judgement is due; 0: none is. */
+int64_t crash_tracker_due_ms(const struct crash_tracker *l)
 {
 	int64_t due = 0;
 	GHashTableIter it;
--- a/core/crash_ledger.h
+++ b/core/crash_ledger.h
@@ -18,16 +18,17 @@
 
 #include <glib.h>
 
-enum { CRASH_ENDS_MAX = 8 };
+enum { CRASH_SERVERS_MAX = 8 };
 
 /* What is known of one request. */
 struct crash_case {
 	uint64_t digest;
-	uint32_t ends[CRASH_ENDS_MAX]; /* backend_start_hash() of servers */
-	unsigned nends;
+	uint32_t servers
+		[CRASH_SERVERS_MAX]; /* backend_start_hash() of servers */
+	unsigned nservers;
 	bool quarantined;
-	unsigned terms;	     /* of quarantine so far, with a trial between */
-	int64_t last_end_ms; /* or when it was told of, if that is later */
+	unsigned periods;      /* of quarantine so far, with a trial between */
+	int64_t last_crash_ms; /* or when it was told of, if that is later */
 	int64_t due_ms; /* to be judged, or the term's end; 0: nothing due */
 };
 
@@ -36,31 +37,31 @@
 	CRASH_QUARANTINED, /* to be refused */
 	CRASH_TRIAL,	   /* one copy may go to a server, to find out */
 	CRASH_RELEASED,	   /* it was answered, or another one is the cause */
-	CRASH_FORGOTTEN,   /* nothing was heard of it for long */
+	CRASH_EXPIRED,	   /* nothing was heard of it for long */
 };
 
-struct crash_ledger {
+struct crash_tracker {
 	GHashTable *cases; /* digest -> struct crash_case * */
 	void (*changed)(void *priv, const struct crash_case *c,
 			enum crash_change what, int64_t now_ms);
 	void *priv;
 };
 
-void crash_ledger_init(struct crash_ledger *l,
-		       void (*changed)(void *priv, const struct crash_case *c,
-				       enum crash_change what, int64_t now_ms),
-		       void *priv);
-void crash_ledger_free(struct crash_ledger *l);
-const struct crash_case *crash_ledger_find(const struct crash_ledger *l,
-					   uint64_t digest);
-void crash_ledger_end(struct crash_ledger *l, uint64_t digest, uint32_t server,
-		      int64_t now_ms);
-void crash_ledger_quarantine(struct crash_ledger *l, uint64_t digest,
-			     unsigned terms, int64_t now_ms);
-void crash_ledger_answered(struct crash_ledger *l, uint64_t digest,
-			   int64_t now_ms);
-void crash_ledger_judge(struct crash_ledger *l, int64_t now_ms);
-void crash_ledger_tick(struct crash_ledger *l, bool tries, int64_t now_ms);
-int64_t crash_ledger_due_ms(const struct crash_ledger *l);
+void crash_tracker_init(struct crash_tracker *l,
+			void (*changed)(void *priv, const struct crash_case *c,
+					enum crash_change what, int64_t now_ms),
+			void *priv);
+void crash_tracker_free(struct crash_tracker *l);
+const struct crash_case *crash_tracker_find(const struct crash_tracker *l,
+					    uint64_t digest);
+void crash_tracker_add_crash(struct crash_tracker *l, uint64_t digest,
+			     uint32_t server, int64_t now_ms);
+void crash_tracker_quarantine(struct crash_tracker *l, uint64_t digest,
+			      unsigned terms, int64_t now_ms);
+void crash_tracker_add_answer(struct crash_tracker *l, uint64_t digest,
+			      int64_t now_ms);
+void crash_tracker_decide(struct crash_tracker *l, int64_t now_ms);
+void crash_tracker_tick(struct crash_tracker *l, bool tries, int64_t now_ms);
+int64_t crash_tracker_due_ms(const struct crash_tracker *l);
 
 #endif
--- a/core/dedup.c
+++ b/core/dedup.c
@@ -48,7 +48,7 @@
  * false and tells in *seen what became of the first call with that key.
  */
 bool dedup_begin(struct dedup *d, const char *service, const char *key,
-		 struct dedup_seen *seen)
+		 struct dedup_result *seen)
 {
 	char *k = g_strdup_printf("%s/%s", service, key);
 	bool fresh;
--- a/core/dedup.h
+++ b/core/dedup.h
@@ -37,7 +37,7 @@
 	unsigned max_keys;
 };
 
-struct dedup_seen {
+struct dedup_result {
 	enum dedup_state state;
 	char *body; /* the first call's answer when DONE; g_free it */
 };
@@ -45,7 +45,7 @@
 void dedup_init(struct dedup *d, unsigned max_keys);
 void dedup_free(struct dedup *d);
 bool dedup_begin(struct dedup *d, const char *service, const char *key,
-		 struct dedup_seen *seen);
+		 struct dedup_result *seen);
 void dedup_end(struct dedup *d, const char *service, const char *key,
 	       enum call_outcome oc, const char *body);
 
--- a/core/drain_news.h
+++ b/core/drain_gossip.h
@@ -3,22 +3,22 @@
  * An announcement holds for all instances until the lifetime ends, so its age doesn't
  * matter.
  */
-#ifndef MP_CORE_DRAIN_NEWS_H
-#define MP_CORE_DRAIN_NEWS_H
+#ifndef MP_CORE_DRAIN_GOSSIP_H
+#define MP_CORE_DRAIN_GOSSIP_H
 
 #include "core/server_state.h"
 
-enum { DRAIN_NEWS_MAX = 16 }; /* fit one datagram, 75 bytes each */
+enum { DRAIN_GOSSIP_MAX = 16 }; /* fit one datagram, 75 bytes each */
 
-struct drain_item {
+struct drain_gossip_item {
 	char id[BACKEND_NAME_MAX];
 	uint64_t born_ms;
 };
 
-struct drain_news {
+struct drain_gossip {
 	uint32_t peer; /* peer_id() of the sender */
 	unsigned n;
-	struct drain_item items[DRAIN_NEWS_MAX];
+	struct drain_gossip_item items[DRAIN_GOSSIP_MAX];
 };
 
 #endif
--- a/core/limit_news.h
+++ b/core/limit_gossip.h
@@ -4,27 +4,27 @@
  * not said so, and hear of the end who may not send there; no instance depends on
  * it to keep to a limit that it knows.
  */
-#ifndef MP_CORE_LIMIT_NEWS_H
-#define MP_CORE_LIMIT_NEWS_H
+#ifndef MP_CORE_LIMIT_GOSSIP_H
+#define MP_CORE_LIMIT_GOSSIP_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 /* So many fit one datagram, 25 bytes each. */
-enum { LIMIT_NEWS_MAX = 48 };
+enum { LIMIT_GOSSIP_MAX = 48 };
 
-struct limit_item {
+struct limit_gossip_item {
 	uint32_t backend; /* backend_start_hash() of the server */
-	bool named;
+	bool limited;
 	double per_s; /* if named */
 	/* The server said so between these two moments. */
-	uint32_t asked_ago_ms, heard_ago_ms;
+	uint32_t sent_ago_ms, received_ago_ms;
 };
 
-struct limit_news {
+struct limit_gossip {
 	uint32_t peer; /* peer_id() of the instance that tells */
 	unsigned n;
-	struct limit_item items[LIMIT_NEWS_MAX];
+	struct limit_gossip_item items[LIMIT_GOSSIP_MAX];
 };
 
 #endif
--- a/core/limit_room.h
+++ b/core/limit_room.h
@@ -9,15 +9,16 @@
 #include "core/backend.h"
 
 /* What this instance may send to them. */
-struct limit_room {
-	bool all;	 /* every server that takes work names a limit */
-	unsigned ready;	 /* requests, at once */
-	double saved;	 /* the same with what is earned in part */
-	double rate_s;	 /* requests a second from then on */
-	int64_t next_ms; /* until one more is earned; -1: never */
+struct limit_capacity {
+	bool all_limited;   /* every server that takes work names a limit */
+	unsigned available; /* requests, at once */
+	double tokens;	    /* the same with what is earned in part */
+	double rate_s;	    /* requests a second from then on */
+	int64_t next_ms;    /* until one more is earned; -1: never */
 };
 
-struct limit_room limit_room(const struct service *s, int64_t now_ms);
-double limit_room_wait_ms(const struct limit_room *room, unsigned before);
+struct limit_capacity limit_capacity(const struct service *s, int64_t now_ms);
+double limit_capacity_wait_ms(const struct limit_capacity *room,
+			      unsigned before);
 
 #endif
--- a/core/limit_share.c
+++ b/core/limit_share.c
@@ -26,7 +26,7 @@
 
 enum { CELL_MS = 40 };
 
-_Static_assert((LIMIT_CELLS - 1) * CELL_MS > LIMIT_WINDOW_MS,
+_Static_assert((LIMIT_INTERVALS - 1) * CELL_MS > LIMIT_WINDOW_MS,
 	       "cells reach back a window");
 
 /* Mixes an instance and a server to a number that all instances agree on. */
@@ -40,13 +40,13 @@
 }
 
 /* How many instances go before this one in the server's order. */
-static unsigned rank_of(uint32_t server, const struct limit_sharers *s)
+static unsigned rank_of(uint32_t server, const struct limit_instances *s)
 {
-	uint64_t own = weight(s->all[0].id, server);
+	uint64_t own = weight(s->list[0].id, server);
 	unsigned rank = 0;
 
 	for (unsigned i = 1; i < s->n; i++)
-		rank += weight(s->all[i].id, server) > own;
+		rank += weight(s->list[i].id, server) > own;
 	return rank;
 }
 
@@ -74,54 +74,54 @@
 }
 
 /*
- * limit_part() tells what this instance holds of the limit of a server, which is
+ * limit_quota() tells what this instance holds of the limit of a server, which is
  * named by a number that is the same on all instances.
  */
-struct limit_part limit_part(double per_s, uint32_t server,
-			     const struct limit_sharers *s)
+struct limit_quota limit_quota(double per_s, uint32_t server,
+			       const struct limit_instances *s)
 {
 	double window = per_s * LIMIT_WINDOW_MS / 1000;
 	double k = holders(per_s, s->n);
 	double most;
 
 	if (s->n == 0 || rank_of(server, s) >= k)
-		return (struct limit_part){.held = false};
+		return (struct limit_quota){.held = false};
 	most = floor((RULE_FACTOR * window + RULE_SLACK) / k);
-	return (struct limit_part){
+	return (struct limit_quota){
 		.held = true,
 		.rate_s = at_least(per_s, LEAST_PER_S) / k,
 		.depth = saved(per_s) / k,
-		.most = (unsigned)at_most(most, UINT16_MAX),
+		.max_in_window = (unsigned)at_most(most, UINT16_MAX),
 	};
 }
 
 /*
- * limit_share_begin() makes one that holds nothing yet. `saved`: this lifetime has
+ * limit_share_init() makes one that holds nothing yet. `saved`: this lifetime has
  * been there from before the limit, so what it may save is there at once.
  */
-void limit_share_begin(struct limit_share *s, bool saved, int64_t now_ms)
+void limit_share_init(struct limit_share *s, bool saved, int64_t now_ms)
 {
 	memset(s, 0, sizeof(*s));
 	s->tokens = saved ? HUGE_VAL : 0;
-	s->at_ms = now_ms;
+	s->updated_ms = now_ms;
 }
 
 static void earn(struct limit_share *s, int64_t now_ms)
 {
-	s->tokens += s->part.rate_s * (double)(now_ms - s->at_ms) / 1000;
-	if (s->tokens > s->part.depth)
-		s->tokens = s->part.depth;
-	s->at_ms = now_ms;
+	s->tokens += s->quota.rate_s * (double)(now_ms - s->updated_ms) / 1000;
+	if (s->tokens > s->quota.depth)
+		s->tokens = s->quota.depth;
+	s->updated_ms = now_ms;
 }
 
-/* limit_share_set() takes another part; one that held none earns from nothing. */
-void limit_share_set(struct limit_share *s, const struct limit_part *part,
-		     int64_t now_ms)
+/* limit_share_set_quota() takes another part; one that held none earns from nothing. */
+void limit_share_set_quota(struct limit_share *s,
+			   const struct limit_quota *part, int64_t now_ms)
 {
-	if (s->part.held)
+	if (s->quota.held)
 		earn(s, now_ms);
-	s->part = *part;
-	s->at_ms = now_ms;
+	s->quota = *part;
+	s->updated_ms = now_ms;
 	if (!part->held)
 		s->tokens = 0;
 	if (s->tokens > part->depth)
@@ -132,28 +132,29 @@
 static unsigned advance(struct limit_share *s, int64_t now_ms)
 {
 	int64_t cell = now_ms / CELL_MS;
-	int64_t first = s->cell + 1;
+	int64_t first = s->newest + 1;
 
-	if (cell <= s->cell)
-		return (unsigned)(s->cell % LIMIT_CELLS);
-	if (first <= cell - LIMIT_CELLS)
-		first = cell - LIMIT_CELLS + 1;
+	if (cell <= s->newest)
+		return (unsigned)(s->newest % LIMIT_INTERVALS);
+	if (first <= cell - LIMIT_INTERVALS)
+		first = cell - LIMIT_INTERVALS + 1;
 	for (int64_t i = first; i <= cell; i++)
-		s->ended[i % LIMIT_CELLS] = 0;
-	s->cell = cell;
-	return (unsigned)(cell % LIMIT_CELLS);
+		s->ended[i % LIMIT_INTERVALS] = 0;
+	s->newest = cell;
+	return (unsigned)(cell % LIMIT_INTERVALS);
 }
 
 /* Sends that may have reached the server in the window that ends now. */
 static unsigned in_window(struct limit_share *s, int64_t now_ms)
 {
-	unsigned n = s->out;
+	unsigned n = s->in_flight;
 
 	advance(s, now_ms);
-	for (int64_t c = s->cell; c >= 0 && s->cell - c < LIMIT_CELLS; c--) {
+	for (int64_t c = s->newest; c >= 0 && s->newest - c < LIMIT_INTERVALS;
+	     c--) {
 		if ((c + 1) * CELL_MS <= now_ms - LIMIT_WINDOW_MS)
 			break;
-		n += s->ended[c % LIMIT_CELLS];
+		n += s->ended[c % LIMIT_INTERVALS];
 	}
 	return n;
 }
@@ -161,10 +162,11 @@
 /* limit_share_allows() tells whether one more request may be sent now. */
 bool limit_share_allows(struct limit_share *s, int64_t now_ms)
 {
-	if (!s->part.held)
+	if (!s->quota.held)
 		return false;
 	earn(s, now_ms);
-	return s->tokens >= 1 - ALMOST && in_window(s, now_ms) < s->part.most;
+	return s->tokens >= 1 - ALMOST &&
+	       in_window(s, now_ms) < s->quota.max_in_window;
 }
 
 /*
@@ -173,12 +175,12 @@
  */
 int64_t limit_share_next_ms(struct limit_share *s, int64_t now_ms)
 {
-	if (!s->part.held)
+	if (!s->quota.held)
 		return -1;
 	earn(s, now_ms);
 	if (s->tokens >= 1 - ALMOST)
 		return 0;
-	return (int64_t)ceil((1 - s->tokens) / s->part.rate_s * 1000);
+	return (int64_t)ceil((1 - s->tokens) / s->quota.rate_s * 1000);
 }
 
 /* limit_share_take() takes one, before it is sent. */
@@ -186,13 +188,14 @@
 {
 	earn(s, now_ms);
 	s->tokens -= 1;
-	s->out++;
+	s->in_flight++;
 }
 
-/* limit_share_end() says that a send has ended, answered or not. */
-void limit_share_end(struct limit_share *s, int64_t now_ms)
+/* limit_share_send_done() says that a send has ended, answered or not. */
+void limit_share_send_done(struct limit_share *s, int64_t now_ms)
 {
-	mp_invariant(s->out > 0, "a limited send ended that wasn't taken");
-	s->out--;
+	mp_invariant(s->in_flight > 0,
+		     "a limited send ended that wasn't taken");
+	s->in_flight--;
 	s->ended[advance(s, now_ms)]++;
 }
--- a/core/limit_share.h
+++ b/core/limit_share.h
@@ -38,46 +38,46 @@
 
 enum {
 	LIMIT_WINDOW_MS = 4000, /* the rule's */
-	LIMIT_CELLS = 128,	/* in which ended sends are counted */
+	LIMIT_INTERVALS = 128,	/* in which ended sends are counted */
 };
 
 /* What an instance holds of a limit. */
-struct limit_part {
+struct limit_quota {
 	bool held;
-	double rate_s; /* requests a second that it earns */
-	double depth;  /* requests that it may save */
-	unsigned most; /* in a window, those on their way included */
+	double rate_s;		/* requests a second that it earns */
+	double depth;		/* requests that it may save */
+	unsigned max_in_window; /* in a window, those on their way included */
 };
 
 struct limit_share {
-	struct limit_part part;
+	struct limit_quota quota;
 	double tokens;
-	int64_t at_ms; /* tokens are right as of then */
-	unsigned out;  /* sends that have not ended */
-	uint16_t ended[LIMIT_CELLS];
-	int64_t cell; /* number of the newest */
+	int64_t updated_ms; /* tokens are right as of then */
+	unsigned in_flight; /* sends that have not ended */
+	uint16_t ended[LIMIT_INTERVALS];
+	int64_t newest; /* number of the newest */
 };
 
 /* An instance that may be sending to servers. */
-struct limit_sharer {
-	uint32_t id;	/* peer_id() */
-	uint32_t heard; /* 1: it is heard of; 0: it has fallen silent */
+struct limit_instance {
+	uint32_t id;	    /* peer_id() */
+	uint32_t reachable; /* 1: it is heard of; 0: it has fallen silent */
 };
 
 /* All of them, as one knows them; itself first. */
-struct limit_sharers {
-	const struct limit_sharer *all;
+struct limit_instances {
+	const struct limit_instance *list;
 	unsigned n; /* 0: not known yet; nothing is held */
 };
 
-struct limit_part limit_part(double per_s, uint32_t server,
-			     const struct limit_sharers *s);
-void limit_share_begin(struct limit_share *s, bool saved, int64_t now_ms);
-void limit_share_set(struct limit_share *s, const struct limit_part *part,
-		     int64_t now_ms);
+struct limit_quota limit_quota(double per_s, uint32_t server,
+			       const struct limit_instances *s);
+void limit_share_init(struct limit_share *s, bool saved, int64_t now_ms);
+void limit_share_set_quota(struct limit_share *s,
+			   const struct limit_quota *part, int64_t now_ms);
 bool limit_share_allows(struct limit_share *s, int64_t now_ms);
 int64_t limit_share_next_ms(struct limit_share *s, int64_t now_ms);
 void limit_share_take(struct limit_share *s, int64_t now_ms);
-void limit_share_end(struct limit_share *s, int64_t now_ms);
+void limit_share_send_done(struct limit_share *s, int64_t now_ms);
 
 #endif
--- a/core/limit_want.c
+++ b/core/limit_want.c
@@ -11,48 +11,49 @@
 	GRANT_MS = 200,
 };
 
-/* limit_want_is_due() tells whether the others may be asked now. */
-bool limit_want_is_due(const struct limit_want *w, int64_t now_ms)
+/* limit_borrow_is_due() tells whether the others may be asked now. */
+bool limit_borrow_is_due(const struct limit_borrow *w, int64_t now_ms)
 {
-	int64_t pause = w->pause_ms > ANSWER_MS ? w->pause_ms : ANSWER_MS;
+	int64_t pause = w->backoff_ms > ANSWER_MS ? w->backoff_ms : ANSWER_MS;
 
-	return w->asked_ms == 0 || now_ms - w->asked_ms >= pause;
+	return w->requested_ms == 0 || now_ms - w->requested_ms >= pause;
 }
 
-/* limit_want_until_ms() tells until when the last question may bring some. */
-int64_t limit_want_until_ms(const struct limit_want *w)
+/* limit_borrow_deadline_ms() tells until when the last question may bring some. */
+int64_t limit_borrow_deadline_ms(const struct limit_borrow *w)
 {
-	return w->asked_ms ? w->asked_ms + ANSWER_MS : 0;
+	return w->requested_ms ? w->requested_ms + ANSWER_MS : 0;
 }
 
 /*
- * limit_want_ask() begins a question and returns its number. Where all are short
+ * limit_borrow_request() begins a question and returns its number. Where all are short
  * nobody grants anything, and they are asked less and less often.
  */
-uint32_t limit_want_ask(struct limit_want *w, int64_t now_ms)
+uint32_t limit_borrow_request(struct limit_borrow *w, int64_t now_ms)
 {
-	w->asked_ms = now_ms;
-	if (++w->vain > VAIN_MAX)
-		w->pause_ms = w->pause_ms ? 2 * w->pause_ms : 2 * ANSWER_MS;
-	if (w->pause_ms > PAUSE_MAX_MS)
-		w->pause_ms = PAUSE_MAX_MS;
+	w->requested_ms = now_ms;
+	if (++w->failures > VAIN_MAX)
+		w->backoff_ms =
+			w->backoff_ms ? 2 * w->backoff_ms : 2 * ANSWER_MS;
+	if (w->backoff_ms > PAUSE_MAX_MS)
+		w->backoff_ms = PAUSE_MAX_MS;
 	return ++w->serial;
 }
 
-/* limit_want_takes() takes in a grant; false if it counts no more. */
-bool limit_want_takes(struct limit_want *w, uint32_t serial, uint32_t giver,
-		      int64_t now_ms)
+/* limit_borrow_accept() takes in a grant; false if it counts no more. */
+bool limit_borrow_accept(struct limit_borrow *w, uint32_t serial,
+			 uint32_t giver, int64_t now_ms)
 {
-	if (serial != w->serial || now_ms - w->asked_ms > ASKED_MAX_MS)
+	if (serial != w->serial || now_ms - w->requested_ms > ASKED_MAX_MS)
 		return false;
-	w->vain = 0;
-	w->pause_ms = 0;
-	w->giver = giver;
+	w->failures = 0;
+	w->backoff_ms = 0;
+	w->lender = giver;
 	return true;
 }
 
-/* limit_grant_until_ms() tells until when a grant that comes now counts. */
-int64_t limit_grant_until_ms(int64_t now_ms)
+/* limit_grant_expiry_ms() tells until when a grant that comes now counts. */
+int64_t limit_grant_expiry_ms(int64_t now_ms)
 {
 	return now_ms + GRANT_MS;
 }
--- a/core/limit_want.h
+++ b/core/limit_want.h
@@ -14,27 +14,28 @@
 #include <stdint.h>
 
 /* What it has asked for one service. Times are by a clock that never stops. */
-struct limit_want {
+struct limit_borrow {
 	uint32_t serial; /* of the last question */
-	int64_t asked_ms;
-	int64_t pause_ms; /* until the next, as questions bring nothing */
-	unsigned vain;	  /* questions in a row that brought nothing */
-	uint32_t giver;	  /* gave last; 0: nobody yet */
+	int64_t requested_ms;
+	int64_t backoff_ms; /* until the next, as questions bring nothing */
+	unsigned failures;  /* questions in a row that brought nothing */
+	uint32_t lender;    /* gave last; 0: nobody yet */
 };
 
 /* A question for a send, or the grant of one, between two instances. */
-struct limit_call {
+struct limit_borrow_msg {
 	bool grant;
 	uint32_t from, to; /* peer_id(); to: 0: of a question, nobody named */
-	uint32_t what;	 /* the service by its hash; the server by its start */
-	uint32_t serial; /* of the question */
+	uint32_t
+		resource; /* the service by its hash; the server by its start */
+	uint32_t serial;  /* of the question */
 };
 
-bool limit_want_is_due(const struct limit_want *w, int64_t now_ms);
-int64_t limit_want_until_ms(const struct limit_want *w);
-uint32_t limit_want_ask(struct limit_want *w, int64_t now_ms);
-bool limit_want_takes(struct limit_want *w, uint32_t serial, uint32_t giver,
-		      int64_t now_ms);
-int64_t limit_grant_until_ms(int64_t now_ms);
+bool limit_borrow_is_due(const struct limit_borrow *w, int64_t now_ms);
+int64_t limit_borrow_deadline_ms(const struct limit_borrow *w);
+uint32_t limit_borrow_request(struct limit_borrow *w, int64_t now_ms);
+bool limit_borrow_accept(struct limit_borrow *w, uint32_t serial,
+			 uint32_t giver, int64_t now_ms);
+int64_t limit_grant_expiry_ms(int64_t now_ms);
 
 #endif
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -62,12 +62,12 @@
 }
 
 /*
- * quarantine_forgives() tells whether an end is not to be held against a
+ * quarantine_take_answer() tells whether an end is not to be held against a
  * request, as it was answered lately. Many copies of a popular one may be at
  * servers that end together for a reason of their own. One answer outweighs
  * one end.
  */
-bool quarantine_forgives(struct quarantine *q, uint64_t digest)
+bool quarantine_take_answer(struct quarantine *q, uint64_t digest)
 {
 	uint64_t *slot = &q->answered[digest % ANSWERED_SLOTS];
 	bool answered = digest && *slot == digest;
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -1,7 +1,7 @@
 /*
  * The verdicts on requests that the traffic thread goes by, and the requests
  * that were answered lately, which no end is held against. The evidence is
- * the control thread's, see core/crash_ledger.h.
+ * the control thread's, see core/crash_tracker.h.
  */
 #ifndef MP_CORE_QUARANTINE_H
 #define MP_CORE_QUARANTINE_H
@@ -42,6 +42,6 @@
 			 int64_t now_ms);
 bool quarantine_take_trial(struct quarantine *q, uint64_t digest);
 void quarantine_note_answer(struct quarantine *q, uint64_t digest);
-bool quarantine_forgives(struct quarantine *q, uint64_t digest);
+bool quarantine_take_answer(struct quarantine *q, uint64_t digest);
 
 #endif
--- a/core/retry_after.c
+++ b/core/retry_after.c
@@ -54,14 +54,15 @@
  * *promised_ms is the last of these; one that comes back no more gets no turn. 0:
  * nothing is known, as this instance may not send to these servers.
  */
-double retry_after_turn_s(int64_t *promised_ms, const struct limit_room *room,
-			  unsigned waiting, int64_t left_ms, int64_t now_ms)
+double retry_after_turn_s(int64_t *promised_ms,
+			  const struct limit_capacity *room, unsigned waiting,
+			  int64_t left_ms, int64_t now_ms)
 {
 	int64_t at;
 
-	if (!room->all || room->rate_s <= 0)
+	if (!room->all_limited || room->rate_s <= 0)
 		return 0;
-	at = now_ms + (int64_t)limit_room_wait_ms(room, waiting);
+	at = now_ms + (int64_t)limit_capacity_wait_ms(room, waiting);
 	if (at < *promised_ms + (int64_t)(1000 / room->rate_s))
 		at = *promised_ms + (int64_t)(1000 / room->rate_s);
 	if (at - now_ms < left_ms)
--- a/core/retry_after.h
+++ b/core/retry_after.h
@@ -14,8 +14,9 @@
 		     double random);
 double retry_after_resume_s(const struct admit_request *r, int64_t resume_in_ms,
 			    double random);
-double retry_after_turn_s(int64_t *promised_ms, const struct limit_room *room,
-			  unsigned waiting, int64_t left_ms, int64_t now_ms);
+double retry_after_turn_s(int64_t *promised_ms,
+			  const struct limit_capacity *room, unsigned waiting,
+			  int64_t left_ms, int64_t now_ms);
 double retry_after_plain_s(double random);
 
 #endif
--- a/core/server_limit.c
+++ b/core/server_limit.c
@@ -17,41 +17,41 @@
 }
 
 /* From now on w is what counts. */
-static void take_word(struct server_limit *l, const struct limit_word *w)
+static void take_word(struct server_limit *l, const struct limit_report *w)
 {
-	l->named = w->named;
-	l->per_s = w->named ? w->per_s : 0;
-	l->asked_ms = w->asked_ms;
-	l->heard_ms = w->heard_ms;
+	l->limited = w->limited;
+	l->per_s = w->limited ? w->per_s : 0;
+	l->sent_ms = w->sent_ms;
+	l->received_ms = w->received_ms;
 }
 
 /* The same once more: what is known of when the server said so is the later. */
-static void confirm(struct server_limit *l, const struct limit_word *w)
+static void confirm(struct server_limit *l, const struct limit_report *w)
 {
-	if (w->asked_ms > l->asked_ms)
-		l->asked_ms = w->asked_ms;
-	if (w->heard_ms > l->heard_ms)
-		l->heard_ms = w->heard_ms;
+	if (w->sent_ms > l->sent_ms)
+		l->sent_ms = w->sent_ms;
+	if (w->received_ms > l->received_ms)
+		l->received_ms = w->received_ms;
 }
 
 static enum limit_change hear_named(struct server_limit *l,
-				    const struct limit_word *w, bool newer)
+				    const struct limit_report *w, bool newer)
 {
-	if (!l->named) {
+	if (!l->limited) {
 		/* A late word of before the end. */
-		if (l->heard_ms && w->heard_ms <= l->asked_ms)
-			return LIMIT_SAME;
+		if (l->received_ms && w->received_ms <= l->sent_ms)
+			return LIMIT_UNCHANGED;
 		take_word(l, w);
-		return LIMIT_BEGAN;
+		return LIMIT_STARTED;
 	}
 	if (w->per_s == l->per_s) {
 		confirm(l, w);
-		return LIMIT_SAME;
+		return LIMIT_UNCHANGED;
 	}
 	if (!newer && w->per_s > l->per_s)
-		return LIMIT_SAME;
-	if (w->heard_ms <= l->asked_ms)
-		return LIMIT_SAME;
+		return LIMIT_UNCHANGED;
+	if (w->received_ms <= l->sent_ms)
+		return LIMIT_UNCHANGED;
 	take_word(l, w);
 	return LIMIT_CHANGED;
 }
@@ -61,40 +61,41 @@
  * names no limit says something only of a server whose questions have named it.
  */
 static bool says_nothing(const struct server_limit *l,
-			 const struct limit_word *w)
+			 const struct limit_report *w)
 {
-	return w->source == LIMIT_BY_QUESTION && !l->in_questions;
+	return w->source == LIMIT_BY_PROBE && !l->in_probes;
 }
 
 static enum limit_change hear_unnamed(struct server_limit *l,
-				      const struct limit_word *w, bool newer)
+				      const struct limit_report *w, bool newer)
 {
 	if (says_nothing(l, w) || !newer)
-		return LIMIT_SAME;
-	if (!l->named) {
+		return LIMIT_UNCHANGED;
+	if (!l->limited) {
 		confirm(l, w);
-		return LIMIT_SAME;
+		return LIMIT_UNCHANGED;
 	}
 	take_word(l, w);
 	return LIMIT_ENDED;
 }
 
 /*
- * server_limit_hear() takes in a word of the server and says what it changed.
+ * server_limit_update() takes in a word of the server and says what it changed.
  */
-enum limit_change server_limit_hear(struct server_limit *l,
-				    const struct limit_word *w, int64_t now_ms)
+enum limit_change server_limit_update(struct server_limit *l,
+				      const struct limit_report *w,
+				      int64_t now_ms)
 {
-	bool newer = w->asked_ms >= l->heard_ms;
+	bool newer = w->sent_ms >= l->received_ms;
 	enum limit_change change;
 
-	if (!w->named)
+	if (!w->limited)
 		return hear_unnamed(l, w, newer);
 	change = hear_named(l, w, newer);
-	if (change == LIMIT_BEGAN)
+	if (change == LIMIT_STARTED)
 		l->since_ms = now_ms;
-	if (w->source == LIMIT_BY_QUESTION)
-		l->in_questions = true;
+	if (w->source == LIMIT_BY_PROBE)
+		l->in_probes = true;
 	return change;
 }
 
@@ -110,6 +111,6 @@
 
 	if (due_s > STALE_LONGEST_S)
 		due_s = STALE_LONGEST_S;
-	return l->named &&
-	       (double)(now_ms - l->heard_ms) > (due_s + STALE_TOLD_S) * 1000;
+	return l->limited && (double)(now_ms - l->received_ms) >
+				     (due_s + STALE_TOLD_S) * 1000;
 }
--- a/core/server_limit.h
+++ b/core/server_limit.h
@@ -15,28 +15,34 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum limit_source { LIMIT_BY_ANSWER, LIMIT_BY_QUESTION, LIMIT_BY_PEER };
+enum limit_source { LIMIT_BY_RESPONSE, LIMIT_BY_PROBE, LIMIT_BY_PEER };
 
 /* What the server says, and when it said so; by a steady clock. */
-struct limit_word {
-	bool named;
+struct limit_report {
+	bool limited;
 	double per_s; /* if named: requests a second, of all instances */
-	int64_t asked_ms, heard_ms;
+	int64_t sent_ms, received_ms;
 	enum limit_source source;
 };
 
-enum limit_change { LIMIT_SAME, LIMIT_BEGAN, LIMIT_CHANGED, LIMIT_ENDED };
+enum limit_change {
+	LIMIT_UNCHANGED,
+	LIMIT_STARTED,
+	LIMIT_CHANGED,
+	LIMIT_ENDED
+};
 
 struct server_limit {
-	bool named;
+	bool limited;
 	double per_s;
-	int64_t since_ms;	    /* named, as far as known here */
-	int64_t asked_ms, heard_ms; /* of the word that counts; 0: none yet */
-	bool in_questions; /* the server's answers to questions name it too */
+	int64_t since_ms;	      /* named, as far as known here */
+	int64_t sent_ms, received_ms; /* of the word that counts; 0: none yet */
+	bool in_probes; /* the server's answers to questions name it too */
 };
 
-enum limit_change server_limit_hear(struct server_limit *l,
-				    const struct limit_word *w, int64_t now_ms);
+enum limit_change server_limit_update(struct server_limit *l,
+				      const struct limit_report *w,
+				      int64_t now_ms);
 bool server_limit_is_stale(const struct server_limit *l, int64_t now_ms);
 const char *limit_source_name(enum limit_source source);
 
--- a/core/server_state.c
+++ b/core/server_state.c
@@ -81,7 +81,7 @@
 	if (s->over)
 		return false;
 	return s->draining || s->backoff_until_ms ||
-	       (s->limit && s->limit->said.named);
+	       (s->limit && s->limit->said.limited);
 }
 
 /* server_state_release() drops a reference. */
--- a/member/gossip.c
+++ b/member/gossip.c
@@ -306,7 +306,7 @@
  * gossip_write_limits() writes what servers say of their limits. Its sender is
  * an id only, as it goes to all while servers are in need.
  */
-void gossip_write_limits(struct buf *out, const struct limit_news *news)
+void gossip_write_limits(struct buf *out, const struct limit_gossip *news)
 {
 	msgpack_packer pk;
 
@@ -316,18 +316,18 @@
 	msgpack_pack_uint32(&pk, news->peer);
 	msgpack_pack_array(&pk, LIMIT_FIELDS * (size_t)news->n);
 	for (unsigned i = 0; i < news->n; i++) {
-		const struct limit_item *it = &news->items[i];
+		const struct limit_gossip_item *it = &news->items[i];
 
 		msgpack_pack_uint32(&pk, it->backend);
-		msgpack_pack_uint8(&pk, it->named);
+		msgpack_pack_uint8(&pk, it->limited);
 		msgpack_pack_double(&pk, it->per_s);
-		msgpack_pack_uint32(&pk, it->asked_ago_ms);
-		msgpack_pack_uint32(&pk, it->heard_ago_ms);
+		msgpack_pack_uint32(&pk, it->sent_ago_ms);
+		msgpack_pack_uint32(&pk, it->received_ago_ms);
 	}
 }
 
 /* gossip_write_drain() writes which servers have said that they leave. */
-void gossip_write_drain(struct buf *out, const struct drain_news *news)
+void gossip_write_drain(struct buf *out, const struct drain_gossip *news)
 {
 	msgpack_packer pk;
 
@@ -343,7 +343,7 @@
 }
 
 /* gossip_write_call() writes a question for a send, or a grant. */
-void gossip_write_call(struct buf *out, const struct limit_call *call)
+void gossip_write_call(struct buf *out, const struct limit_borrow_msg *call)
 {
 	msgpack_packer pk;
 
@@ -351,6 +351,6 @@
 	msgpack_pack_array(&pk, CALL_FIELDS);
 	msgpack_pack_int(&pk, call->grant ? GOSSIP_GRANT : GOSSIP_WANT);
 	msgpack_pack_uint32(&pk, call->from);
-	msgpack_pack_uint32(&pk, call->what);
+	msgpack_pack_uint32(&pk, call->resource);
 	msgpack_pack_uint32(&pk, call->serial);
 }
--- a/member/gossip.h
+++ b/member/gossip.h
@@ -10,8 +10,8 @@
 #include <msgpack.h>
 
 #include "core/backend.h"
-#include "core/drain_news.h"
-#include "core/limit_news.h"
+#include "core/drain_gossip.h"
+#include "core/limit_gossip.h"
 #include "core/limit_want.h"
 #include "core/peer_load.h"
 #include "member/hubs.h"
@@ -86,16 +86,16 @@
 struct gossip_message {
 	enum gossip_kind kind;
 	struct peer_info sender;
-	struct backend_feed feed; /* of GOSSIP_FEED */
-	struct peer_load load;	  /* of GOSSIP_LOAD */
-	struct roll roll;	  /* of GOSSIP_ROLL */
-	uint32_t who;		  /* of GOSSIP_WHO: the id asked for */
-	uint32_t digest;	  /* of GOSSIP_SAME */
-	struct peer_info person;  /* of GOSSIP_PERSON */
-	struct limit_news limits; /* of GOSSIP_LIMIT */
-	struct drain_news drain;  /* of GOSSIP_DRAIN */
-	struct limit_call call;	  /* of GOSSIP_WANT and GOSSIP_GRANT */
-	GArray *crashes;	  /* of GOSSIP_CRASH: struct crash_news */
+	struct backend_feed feed;     /* of GOSSIP_FEED */
+	struct peer_load load;	      /* of GOSSIP_LOAD */
+	struct roll roll;	      /* of GOSSIP_ROLL */
+	uint32_t who;		      /* of GOSSIP_WHO: the id asked for */
+	uint32_t digest;	      /* of GOSSIP_SAME */
+	struct peer_info person;      /* of GOSSIP_PERSON */
+	struct limit_gossip limits;   /* of GOSSIP_LIMIT */
+	struct drain_gossip drain;    /* of GOSSIP_DRAIN */
+	struct limit_borrow_msg call; /* of GOSSIP_WANT and GOSSIP_GRANT */
+	GArray *crashes;	      /* of GOSSIP_CRASH: struct crash_news */
 };
 
 /* Fits an Ethernet frame, so that no datagram comes in pieces. */
@@ -118,9 +118,9 @@
 			 const struct peer_info *person);
 void gossip_write_crashes(struct buf *out, const struct peer_info *self,
 			  const struct crash_news *news, unsigned n);
-void gossip_write_limits(struct buf *out, const struct limit_news *news);
-void gossip_write_drain(struct buf *out, const struct drain_news *news);
-void gossip_write_call(struct buf *out, const struct limit_call *call);
+void gossip_write_limits(struct buf *out, const struct limit_gossip *news);
+void gossip_write_drain(struct buf *out, const struct drain_gossip *news);
+void gossip_write_call(struct buf *out, const struct limit_borrow_msg *call);
 bool gossip_names_sender(const struct gossip_message *m);
 int gossip_read(struct lstr bytes, struct gossip_message *m);
 void gossip_pack_change(msgpack_packer *pk, const struct backend_change *c);
--- a/member/gossip_read.c
+++ b/member/gossip_read.c
@@ -212,28 +212,28 @@
 	return !c.bad;
 }
 
-static bool read_limits(const msgpack_object *o, struct limit_news *news)
+static bool read_limits(const msgpack_object *o, struct limit_gossip *news)
 {
 	struct cursor c = cursor_of(o);
 
-	while (!c.bad && c.at < c.end && news->n < LIMIT_NEWS_MAX) {
-		struct limit_item *it = &news->items[news->n++];
+	while (!c.bad && c.at < c.end && news->n < LIMIT_GOSSIP_MAX) {
+		struct limit_gossip_item *it = &news->items[news->n++];
 
 		it->backend = (uint32_t)next_uint(&c);
-		it->named = next_uint(&c) != 0;
+		it->limited = next_uint(&c) != 0;
 		it->per_s = next_number(&c);
-		it->asked_ago_ms = (uint32_t)next_uint(&c);
-		it->heard_ago_ms = (uint32_t)next_uint(&c);
+		it->sent_ago_ms = (uint32_t)next_uint(&c);
+		it->received_ago_ms = (uint32_t)next_uint(&c);
 	}
 	return !c.bad;
 }
 
-static bool read_draining(const msgpack_object *o, struct drain_news *news)
+static bool read_draining(const msgpack_object *o, struct drain_gossip *news)
 {
 	struct cursor c = cursor_of(o);
 
-	while (!c.bad && c.at < c.end && news->n < DRAIN_NEWS_MAX) {
-		struct drain_item *it = &news->items[news->n++];
+	while (!c.bad && c.at < c.end && news->n < DRAIN_GOSSIP_MAX) {
+		struct drain_gossip_item *it = &news->items[news->n++];
 
 		next_text(&c, it->id, sizeof(it->id));
 		it->born_ms = next_uint(&c);
@@ -245,7 +245,7 @@
 {
 	m->call.grant = m->kind == GOSSIP_GRANT;
 	m->call.from = (uint32_t)next_uint(c);
-	m->call.what = (uint32_t)next_uint(c);
+	m->call.resource = (uint32_t)next_uint(c);
 	m->call.serial = (uint32_t)next_uint(c);
 	return !c->bad;
 }
--- a/member/peers.c
+++ b/member/peers.c
@@ -210,13 +210,13 @@
  * first. One that merely fell silent counts on, unlike in peers_count(): what it
  * holds must not be given to another while it may be using it. `stop_ms`: so long
  * after it said that it leaves one has surely ended. Unref the array of struct
- * limit_sharer after use.
+ * limit_instance after use.
  */
 GArray *peers_sharers(const struct peer_table *t, uint32_t stop_ms,
 		      int64_t now_ms)
 {
-	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct limit_sharer));
-	struct limit_sharer s = {peer_id(t->self.name), 1};
+	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
+	struct limit_instance s = {peer_id(t->self.name), 1};
 
 	g_array_append_val(out, s);
 	for (guint i = 0; i < t->peers->len; i++) {
@@ -224,7 +224,7 @@
 
 		if (!may_send(p, stop_ms, now_ms))
 			continue;
-		s = (struct limit_sharer){p->id, peer_alive(p, now_ms)};
+		s = (struct limit_instance){p->id, peer_alive(p, now_ms)};
 		g_array_append_val(out, s);
 	}
 	return out;
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -299,12 +299,12 @@
 		r->timeout_ms = BENCH_TIMEOUT_MS;
 		r->target_ms = BENCH_TARGET_MS;
 		r->max_attempts = 2;
-		r->nparts = 1;
-		r->parts = arena_alloc(&c->arena, sizeof(*r->parts));
-		r->parts[0] = (struct route_part){LSTR("harta"), 1};
+		r->nsplits = 1;
+		r->splits = arena_alloc(&c->arena, sizeof(*r->splits));
+		r->splits[0] = (struct route_split){LSTR("harta"), 1};
 	}
 	findings_init(&f);
-	if (config_finish(c, &f))
+	if (config_finalize(c, &f))
 		abort();
 	findings_clear(&f);
 	return c;
@@ -372,7 +372,7 @@
 	if (traffic_init(&b->traffic, s, NULL, &b->view, &b->control))
 		abort();
 	b->loop = b->traffic.loop;
-	b->traffic.ask_rule.instances = 1;
+	b->traffic.probe_rate.instances = 1;
 	b->traffic.config = bench_config();
 	b->ran = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	b->callers = g_ptr_array_new();
--- a/tests/budget_system.h
+++ b/tests/budget_system.h
@@ -31,8 +31,8 @@
 
 struct instance {
 	struct retry_budget budget;
-	struct budget_rule rule; /* as this one knows it */
-	double share;		 /* of the demand */
+	struct budget_params rule; /* as this one knows it */
+	double share;		   /* of the demand */
 };
 
 struct world {
@@ -43,7 +43,7 @@
 	uint32_t requests[STEPS], extra[STEPS];
 };
 
-static const struct budget_rule system_rule = {
+static const struct budget_params system_rule = {
 	.ratio = 0.2,
 	.slack = 60,
 	.window_ms = WINDOW_MS,
@@ -97,7 +97,7 @@
 		if (!budget_allows(&in->budget, &in->rule, clock_at(step)))
 			return;
 		budget_spend(&in->budget);
-		budget_end(&in->budget, &in->rule, clock_at(step));
+		budget_send_done(&in->budget, &in->rule, clock_at(step));
 		w->extra[step]++;
 	}
 }
@@ -107,7 +107,7 @@
 {
 	struct instance *in = &w->instances[i];
 
-	budget_request(&in->budget, &in->rule, clock_at(step));
+	budget_add_request(&in->budget, &in->rule, clock_at(step));
 	w->requests[step]++;
 	want(w, i, step, more);
 }
--- a/tests/test_ask_budget.c
+++ b/tests/test_ask_budget.c
@@ -1,25 +1,25 @@
-/* Tests of core/ask_budget: the rate of questions of all instances. */
+/* Tests of core/probe_budget: the rate of questions of all instances. */
 #include "tests/unit.h"
 
 #include "core/ask_budget.h"
 
 enum { INSTANCES = 16, SERVERS = 31 };
 
-static const struct ask_rule rule = {.per_server_s = 60,
-				     .instances = INSTANCES};
+static const struct probe_rate rule = {.per_server_s = 60,
+				       .instances = INSTANCES};
 
 /* Everybody asks as much as it can: the day's mean stays under the rate. */
 static void test_rate(void **state)
 {
-	struct ask_budget b[INSTANCES];
+	struct probe_budget b[INSTANCES];
 	double asked = 0;
 
 	for (int i = 0; i < INSTANCES; i++)
-		ask_budget_init(&b[i], 1);
+		probe_budget_init(&b[i], 1);
 	for (int ms = 1; ms <= 40000; ms++) {
 		for (int i = 0; i < INSTANCES; i++)
-			asked += ask_budget_take(&b[i], &rule, SERVERS, 5, 1,
-						 ms);
+			asked += probe_budget_take(&b[i], &rule, SERVERS, 5, 1,
+						   ms);
 	}
 	assert_true(asked / 40 / SERVERS < 60);
 	assert_true(asked / 40 / SERVERS > 30);
@@ -33,15 +33,15 @@
  */
 static void test_killed(void **state)
 {
-	struct ask_budget b[INSTANCES];
+	struct probe_budget b[INSTANCES];
 	double asked = 0;
 
 	for (int ms = 1; ms <= 40000; ms++) {
 		for (int i = 0; i < INSTANCES && ms % 3000 == 1; i++)
-			ask_budget_init(&b[i], ms);
+			probe_budget_init(&b[i], ms);
 		for (int i = 0; i < INSTANCES; i++)
-			asked += ask_budget_take(&b[i], &rule, SERVERS, 1, 1,
-						 ms);
+			asked += probe_budget_take(&b[i], &rule, SERVERS, 1, 1,
+						   ms);
 	}
 	assert_true(asked / 40 / SERVERS <= 60);
 	assert_true(asked / 40 / SERVERS > 30);
@@ -50,30 +50,30 @@
 /* A request's first question goes ahead when the others have to wait. */
 static void test_first_question(void **state)
 {
-	struct ask_budget b;
+	struct probe_budget b;
 	unsigned n = 0;
 
 	/* A lifetime that has just begun owns nothing. */
-	ask_budget_init(&b, 1);
-	assert_int_equal(ask_budget_take(&b, &rule, SERVERS, 3, 1, 1), 0);
-	while (ask_budget_take(&b, &rule, SERVERS, 5, 0, 20000) == 5)
+	probe_budget_init(&b, 1);
+	assert_int_equal(probe_budget_take(&b, &rule, SERVERS, 3, 1, 1), 0);
+	while (probe_budget_take(&b, &rule, SERVERS, 5, 0, 20000) == 5)
 		n++;
 	assert_true(n > 10);
-	assert_int_equal(ask_budget_take(&b, &rule, SERVERS, 3, 0, 20000), 0);
-	assert_int_equal(ask_budget_take(&b, &rule, SERVERS, 3, 1, 20000), 1);
+	assert_int_equal(probe_budget_take(&b, &rule, SERVERS, 3, 0, 20000), 0);
+	assert_int_equal(probe_budget_take(&b, &rule, SERVERS, 3, 1, 20000), 1);
 	/* But not without end. */
 	for (int i = 0; i < 1000; i++)
-		ask_budget_take(&b, &rule, SERVERS, 3, 1, 20000);
-	assert_int_equal(ask_budget_take(&b, &rule, SERVERS, 3, 1, 20000), 0);
-	assert_int_equal(ask_budget_take(&b, &rule, SERVERS, 3, 1, 25000), 3);
+		probe_budget_take(&b, &rule, SERVERS, 3, 1, 20000);
+	assert_int_equal(probe_budget_take(&b, &rule, SERVERS, 3, 1, 20000), 0);
+	assert_int_equal(probe_budget_take(&b, &rule, SERVERS, 3, 1, 25000), 3);
 }
 
 static void test_no_servers(void **state)
 {
-	struct ask_budget b;
+	struct probe_budget b;
 
-	ask_budget_init(&b, 1);
-	assert_int_equal(ask_budget_take(&b, &rule, 0, 3, 1, 9000), 0);
+	probe_budget_init(&b, 1);
+	assert_int_equal(probe_budget_take(&b, &rule, 0, 3, 1, 9000), 0);
 }
 
 int main(void)
--- a/tests/test_availability.c
+++ b/tests/test_availability.c
@@ -63,7 +63,7 @@
 	struct backend *b = s->list[0];
 
 	b->state->limit = g_new0(struct backend_limit, 1);
-	b->state->limit->said.named = true;
+	b->state->limit->said.limited = true;
 	assert_int_equal(hold_of(b, SEND_PRIMARY, 0), HOLD_LIMIT);
 	b->state->limit->looks = true;
 	assert_int_equal(hold_of(b, SEND_PRIMARY, 0), HOLD_NONE);
--- a/tests/test_backend.c
+++ b/tests/test_backend.c
@@ -124,22 +124,22 @@
 {
 	struct servers *s = servers_new(1, 4);
 	struct backend *b = s->list[0];
-	struct limit_sharer all[] = {{1, 1}};
-	struct limit_sharers sharers = {all, 1};
-	struct limit_part part = limit_part(1, b->start, &sharers);
+	struct limit_instance all[] = {{1, 1}};
+	struct limit_instances sharers = {all, 1};
+	struct limit_quota part = limit_quota(1, b->start, &sharers);
 
 	b->state->limit = g_new0(struct backend_limit, 1);
 	b->state->limit->said =
-		(struct server_limit){.named = true, .per_s = 1};
+		(struct server_limit){.limited = true, .per_s = 1};
 	assert_true(backend_is_limited(b));
 	assert_false(backend_takes(b, SEND_PRIMARY, 0));
 	b->state->limit->looks = true;
 	assert_true(backend_takes(b, SEND_PRIMARY, 0));
 	b->state->limit->looks = false;
-	limit_share_set(&b->state->limit->share, &part, 0);
+	limit_share_set_quota(&b->state->limit->share, &part, 0);
 	assert_false(backend_takes(b, SEND_PRIMARY, 900));
 	assert_true(backend_takes(b, SEND_PRIMARY, 1000));
-	b->state->limit->said.named = false;
+	b->state->limit->said.limited = false;
 	assert_true(backend_takes(b, SEND_PRIMARY, 0));
 	servers_free(s);
 }
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -32,7 +32,7 @@
 };
 
 /* Plays a day on which every request wants three more sends. */
-static void play(guint32 seed, struct day *d, const struct budget_rule *rule)
+static void play(guint32 seed, struct day *d, const struct budget_params *rule)
 {
 	struct retry_budget b[INSTANCES];
 	GRand *rand = g_rand_new_with_seed(seed);
@@ -47,13 +47,13 @@
 		for (int k = 0; k < INSTANCES; k++) {
 			if (g_rand_double(rand) > rate)
 				continue;
-			budget_request(&b[k], rule, now);
+			budget_add_request(&b[k], rule, now);
 			d->requests[i]++;
 			for (int n = 0; n < 3; n++) {
 				if (!budget_allows(&b[k], rule, now))
 					break;
 				budget_spend(&b[k]);
-				budget_end(&b[k], rule, now);
+				budget_send_done(&b[k], rule, now);
 				d->extra[i]++;
 			}
 		}
@@ -63,10 +63,10 @@
 
 static void test_never_over(void **state)
 {
-	struct budget_rule rule = {.ratio = 0.2,
-				   .slack = 56,
-				   .window_ms = WINDOW_MS,
-				   .instances = INSTANCES};
+	struct budget_params rule = {.ratio = 0.2,
+				     .slack = 56,
+				     .window_ms = WINDOW_MS,
+				     .instances = INSTANCES};
 	int w = WINDOW_MS / STEP_MS;
 
 	for (guint32 seed = 1; seed <= 20; seed++) {
@@ -290,18 +290,18 @@
  */
 static void test_nothing_for_nothing(void **state)
 {
-	struct budget_rule rule = {.ratio = 3, .window_ms = WINDOW_MS};
+	struct budget_params rule = {.ratio = 3, .window_ms = WINDOW_MS};
 	struct retry_budget b;
 	int64_t t0 = 5000000;
 
 	budget_init(&b, 0.99);
 	assert_false(budget_allows(&b, &rule, t0));
 	assert_false(budget_allows(&b, &rule, t0 + 10 * WINDOW_MS));
-	budget_request(&b, &rule, t0);
+	budget_add_request(&b, &rule, t0);
 	assert_true(budget_allows(&b, &rule, t0));
 	budget_spend(&b);
 	assert_false(budget_allows(&b, &rule, t0));
-	budget_end(&b, &rule, t0 + 1000);
+	budget_send_done(&b, &rule, t0 + 1000);
 	assert_false(budget_allows(&b, &rule, t0 + 1000));
 	/* The third that the window before pays is used up with the others. */
 	assert_false(budget_allows(&b, &rule, t0 + WINDOW_MS + 500));
@@ -311,46 +311,46 @@
 /* One that is out counts until it ends: its server may get it any moment. */
 static void test_out_counts(void **state)
 {
-	struct budget_rule rule = {.ratio = 3, .window_ms = WINDOW_MS};
+	struct budget_params rule = {.ratio = 3, .window_ms = WINDOW_MS};
 	struct retry_budget b;
 	int64_t t0 = 5000000;
 
 	budget_init(&b, 0);
-	budget_request(&b, &rule, t0);
+	budget_add_request(&b, &rule, t0);
 	budget_spend(&b);
 	for (int64_t t = t0; t < t0 + 3 * WINDOW_MS; t += 1000) {
-		budget_request(&b, &rule, t);
+		budget_add_request(&b, &rule, t);
 		assert_true(budget_left(&b, &rule, t) >= 0);
 	}
 	budget_spend(&b);
 	/* None was ended: both count now, as if just sent. */
 	assert_int_equal(budget_window(&b, &rule, t0 + 3 * WINDOW_MS).spent, 2);
-	budget_give_back(&b);
-	budget_end(&b, &rule, t0 + 3 * WINDOW_MS);
+	budget_refund(&b);
+	budget_send_done(&b, &rule, t0 + 3 * WINDOW_MS);
 	assert_int_equal(budget_window(&b, &rule, t0 + 3 * WINDOW_MS).spent, 1);
 }
 
 /* Another window in the settings: the account begins anew, what is out stays. */
 static void test_window_changes(void **state)
 {
-	struct budget_rule rule = {.ratio = 30, .window_ms = WINDOW_MS};
+	struct budget_params rule = {.ratio = 30, .window_ms = WINDOW_MS};
 	struct retry_budget b;
 	int64_t t = 5000000;
 
 	budget_init(&b, 0);
-	budget_request(&b, &rule, t);
+	budget_add_request(&b, &rule, t);
 	budget_spend(&b);
 	for (uint32_t ms = 4 * WINDOW_MS; ms > 0; ms /= 8) {
 		rule.window_ms = ms;
-		budget_request(&b, &rule, t);
+		budget_add_request(&b, &rule, t);
 		assert_int_equal(budget_window(&b, &rule, t).requests, 1);
 		assert_int_equal(budget_window(&b, &rule, t).spent, 1);
 		t += 10 * WINDOW_MS;
 	}
 	rule.window_ms = 0;
-	budget_request(&b, &rule, t);
+	budget_add_request(&b, &rule, t);
 	assert_int_equal(budget_window(&b, &rule, t).spent, 1);
-	budget_end(&b, &rule, t);
+	budget_send_done(&b, &rule, t);
 }
 
 /* Of the repeats wanted on calm days, the share that is allowed. */
--- a/tests/test_config.c
+++ b/tests/test_config.c
@@ -27,12 +27,12 @@
 		r->path_prefix = lstr0(s[i].prefix);
 		r->timeout_ms = r->target_ms = 100;
 		r->max_attempts = 1;
-		r->nparts = 1;
-		r->parts = arena_alloc(&c->arena, sizeof(*r->parts));
-		r->parts[0].service = lstr0(s[i].service);
-		r->parts[0].weight = 1;
+		r->nsplits = 1;
+		r->splits = arena_alloc(&c->arena, sizeof(*r->splits));
+		r->splits[0].service = lstr0(s[i].service);
+		r->splits[0].weight = 1;
 	}
-	config_finish(c, f);
+	config_finalize(c, f);
 	return c;
 }
 
@@ -96,9 +96,9 @@
 /* Parts get their weight's share, to the ends of the random range. */
 static void test_weights(void **state)
 {
-	struct route_part parts[] = {
+	struct route_split parts[] = {
 		{LSTR("a"), 90}, {LSTR("b"), 10}, {LSTR("c"), 0}};
-	struct route r = {.parts = parts, .nparts = 3};
+	struct route r = {.splits = parts, .nsplits = 3};
 	GRand *rand = g_rand_new_with_seed(1);
 	int b = 0;
 
--- a/tests/test_crash_ledger.c
+++ b/tests/test_crash_ledger.c
@@ -1,5 +1,5 @@
 /*
- * Tests of core/crash_ledger: who is blamed for ends of servers, who is not,
+ * Tests of core/crash_tracker: who is blamed for ends of servers, who is not,
  * and how a verdict ends.
  */
 #include "tests/unit.h"
@@ -17,8 +17,8 @@
 enum { LOST_ONE_IN = 300 };
 
 struct heard {
-	unsigned count[CRASH_FORGOTTEN + 1];
-	uint64_t last[CRASH_FORGOTTEN + 1]; /* digest */
+	unsigned count[CRASH_EXPIRED + 1];
+	uint64_t last[CRASH_EXPIRED + 1]; /* digest */
 };
 
 static void on_change(void *priv, const struct crash_case *c,
@@ -30,26 +30,26 @@
 	h->last[what] = c->digest;
 }
 
-static void begin(struct crash_ledger *l, struct heard *h)
+static void begin(struct crash_tracker *l, struct heard *h)
 {
 	memset(h, 0, sizeof(*h));
-	crash_ledger_init(l, on_change, h);
+	crash_tracker_init(l, on_change, h);
 }
 
-static bool refused(const struct crash_ledger *l, uint64_t digest)
+static bool refused(const struct crash_tracker *l, uint64_t digest)
 {
-	const struct crash_case *c = crash_ledger_find(l, digest);
+	const struct crash_case *c = crash_tracker_find(l, digest);
 
 	return c && c->quarantined;
 }
 
 /* Servers from..to end under one request, one a second from `now` on. */
-static int64_t end_under(struct crash_ledger *l, uint64_t digest, uint32_t from,
-			 uint32_t to, int64_t now)
+static int64_t end_under(struct crash_tracker *l, uint64_t digest,
+			 uint32_t from, uint32_t to, int64_t now)
 {
 	for (uint32_t s = from; s <= to; s++, now += 1000) {
-		crash_ledger_end(l, digest, s, now);
-		crash_ledger_judge(l, now + JUDGED_MS);
+		crash_tracker_add_crash(l, digest, s, now);
+		crash_tracker_decide(l, now + JUDGED_MS);
 	}
 	return now;
 }
@@ -57,7 +57,7 @@
 /* Three servers prove it, two don't; copies of one report count once. */
 static void test_proof(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 	int64_t now;
 
@@ -67,45 +67,45 @@
 	end_under(&l, CULPRIT, 1, 1, now + 10);
 	assert_false(refused(&l, CULPRIT));
 	assert_int_equal(h.count[CRASH_SUSPECTED], 2);
-	crash_ledger_end(&l, CULPRIT, 3, now + 20);
+	crash_tracker_add_crash(&l, CULPRIT, 3, now + 20);
 	/* What others had there is told within a moment. */
-	crash_ledger_judge(&l, now + 30);
+	crash_tracker_decide(&l, now + 30);
 	assert_false(refused(&l, CULPRIT));
-	assert_true(crash_ledger_due_ms(&l) > now + 30);
-	crash_ledger_judge(&l, now + 20 + JUDGED_MS);
+	assert_true(crash_tracker_due_ms(&l) > now + 30);
+	crash_tracker_decide(&l, now + 20 + JUDGED_MS);
 	assert_true(refused(&l, CULPRIT));
 	assert_int_equal(h.count[CRASH_QUARANTINED], 1);
-	assert_int_equal(crash_ledger_due_ms(&l), 0);
-	crash_ledger_free(&l);
+	assert_int_equal(crash_tracker_due_ms(&l), 0);
+	crash_tracker_free(&l);
 }
 
 /* An answer clears a suspect, and one that is refused by mistake. */
 static void test_answer(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 	int64_t now;
 
 	begin(&l, &h);
 	now = end_under(&l, CULPRIT, 1, 2, 1000);
-	crash_ledger_answered(&l, CULPRIT, now);
+	crash_tracker_add_answer(&l, CULPRIT, now);
 	now = end_under(&l, CULPRIT, 3, 4, now);
 	assert_false(refused(&l, CULPRIT));
 	now = end_under(&l, CULPRIT, 5, 5, now);
 	assert_true(refused(&l, CULPRIT));
-	crash_ledger_answered(&l, CULPRIT, now);
-	assert_null(crash_ledger_find(&l, CULPRIT));
+	crash_tracker_add_answer(&l, CULPRIT, now);
+	assert_null(crash_tracker_find(&l, CULPRIT));
 	assert_int_equal(h.count[CRASH_RELEASED], 2);
-	crash_ledger_free(&l);
+	crash_tracker_free(&l);
 }
 
 /* Three servers end while they have the culprit and request 7. */
-static void end_under_both(struct crash_ledger *l)
+static void end_under_both(struct crash_tracker *l)
 {
 	for (uint32_t s = 1; s <= 3; s++) {
-		crash_ledger_end(l, 7, s, 1000 * s);
-		crash_ledger_end(l, CULPRIT, s, 1000 * s);
-		crash_ledger_judge(l, 1000 * s + JUDGED_MS);
+		crash_tracker_add_crash(l, 7, s, 1000 * s);
+		crash_tracker_add_crash(l, CULPRIT, s, 1000 * s);
+		crash_tracker_decide(l, 1000 * s + JUDGED_MS);
 	}
 }
 
@@ -115,7 +115,7 @@
  */
 static void test_beside(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 
 	begin(&l, &h);
@@ -125,50 +125,50 @@
 	assert_false(refused(&l, 7));
 	end_under(&l, CULPRIT, 4, 4, 4000);
 	assert_true(refused(&l, CULPRIT));
-	assert_null(crash_ledger_find(&l, 7));
+	assert_null(crash_tracker_find(&l, 7));
 	assert_int_equal(h.last[CRASH_RELEASED], 7);
 	/* Later ends of known cause are held against nobody. */
-	crash_ledger_end(&l, 7, 4, 5000);
-	crash_ledger_end(&l, 8, 4, 5000);
-	assert_null(crash_ledger_find(&l, 7));
-	assert_null(crash_ledger_find(&l, 8));
-	crash_ledger_free(&l);
+	crash_tracker_add_crash(&l, 7, 4, 5000);
+	crash_tracker_add_crash(&l, 8, 4, 5000);
+	assert_null(crash_tracker_find(&l, 7));
+	assert_null(crash_tracker_find(&l, 8));
+	crash_tracker_free(&l);
 }
 
 /* Both were at all three, and one is answered: it was the other. */
 static void test_beside_answered(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 
 	begin(&l, &h);
 	end_under_both(&l);
 	assert_false(refused(&l, CULPRIT));
-	crash_ledger_answered(&l, 7, 5000);
-	assert_true(crash_ledger_due_ms(&l) > 0);
-	crash_ledger_judge(&l, 5000 + JUDGED_MS);
+	crash_tracker_add_answer(&l, 7, 5000);
+	assert_true(crash_tracker_due_ms(&l) > 0);
+	crash_tracker_decide(&l, 5000 + JUDGED_MS);
 	assert_true(refused(&l, CULPRIT));
-	crash_ledger_free(&l);
+	crash_tracker_free(&l);
 }
 
 /* The culprit's share of an end may be told after the others' one. */
 static void test_told_late(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 
 	begin(&l, &h);
 	end_under(&l, CULPRIT, 1, 3, 1000);
-	crash_ledger_end(&l, 7, 9, 5000);
-	crash_ledger_end(&l, CULPRIT, 9, 5010);
-	assert_null(crash_ledger_find(&l, 7));
-	crash_ledger_free(&l);
+	crash_tracker_add_crash(&l, 7, 9, 5000);
+	crash_tracker_add_crash(&l, CULPRIT, 9, 5010);
+	assert_null(crash_tracker_find(&l, 7));
+	crash_tracker_free(&l);
 }
 
 /* Two at once, often at the same servers: both are found. */
 static void test_two(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 
 	begin(&l, &h);
@@ -182,64 +182,64 @@
 	assert_false(refused(&l, 2));
 	end_under(&l, 2, 6, 6, 7000);
 	assert_true(refused(&l, 2));
-	crash_ledger_free(&l);
+	crash_tracker_free(&l);
 }
 
 /* When a term is over one instance tries it, ever more seldom. */
 static void test_terms(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 	int64_t now = 1000;
 
 	begin(&l, &h);
 	end_under(&l, CULPRIT, 1, 3, now);
 	for (int64_t t = now; t < now + 30 * MINUTE_MS; t += 100)
-		crash_ledger_tick(&l, true, t);
+		crash_tracker_tick(&l, true, t);
 	/* After 1, 3, 7, 15 and 25 minutes. */
 	assert_int_equal(h.count[CRASH_TRIAL], 5);
 	assert_true(refused(&l, CULPRIT));
 	for (int64_t t = now; t < now + 70 * MINUTE_MS; t += 1000)
-		crash_ledger_tick(&l, false, t);
+		crash_tracker_tick(&l, false, t);
 	/* No server has ended for an hour. */
-	assert_int_equal(h.count[CRASH_FORGOTTEN], 1);
-	assert_null(crash_ledger_find(&l, CULPRIT));
-	crash_ledger_free(&l);
+	assert_int_equal(h.count[CRASH_EXPIRED], 1);
+	assert_null(crash_tracker_find(&l, CULPRIT));
+	crash_tracker_free(&l);
 }
 
 /* Another instance's verdict holds at once, and is no second one. */
 static void test_told(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 
 	begin(&l, &h);
-	crash_ledger_quarantine(&l, CULPRIT, 1, 1000);
-	crash_ledger_quarantine(&l, CULPRIT, 1, 2000);
+	crash_tracker_quarantine(&l, CULPRIT, 1, 1000);
+	crash_tracker_quarantine(&l, CULPRIT, 1, 2000);
 	assert_true(refused(&l, CULPRIT));
 	assert_int_equal(h.count[CRASH_QUARANTINED], 1);
-	crash_ledger_tick(&l, true, 1000 + MINUTE_MS);
+	crash_tracker_tick(&l, true, 1000 + MINUTE_MS);
 	assert_int_equal(h.count[CRASH_TRIAL], 1);
-	crash_ledger_free(&l);
+	crash_tracker_free(&l);
 }
 
 /* A suspect of long ago starts anew; the table stays small. */
 static void test_bounds(void **state)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 
 	begin(&l, &h);
 	end_under(&l, CULPRIT, 1, 2, 1000);
-	crash_ledger_tick(&l, true, 20 * MINUTE_MS);
-	assert_null(crash_ledger_find(&l, CULPRIT));
+	crash_tracker_tick(&l, true, 20 * MINUTE_MS);
+	assert_null(crash_tracker_find(&l, CULPRIT));
 	end_under(&l, CULPRIT, 1, 3, 20 * MINUTE_MS);
 	for (uint64_t d = 100; d < 2000; d++)
-		crash_ledger_end(&l, d, (uint32_t)d, 21 * MINUTE_MS);
+		crash_tracker_add_crash(&l, d, (uint32_t)d, 21 * MINUTE_MS);
 	assert_int_equal(g_hash_table_size(l.cases), 512);
 	/* No verdict is given up for a suspect. */
 	assert_true(refused(&l, CULPRIT));
-	crash_ledger_free(&l);
+	crash_tracker_free(&l);
 }
 
 /*
@@ -250,7 +250,7 @@
  */
 static unsigned play_spell(GRand *rand, unsigned *blamed)
 {
-	struct crash_ledger l;
+	struct crash_tracker l;
 	struct heard h;
 	uint64_t beside[4] = {0}, next_id = 100;
 	unsigned sends[4] = {0}, ends = 0;
@@ -270,14 +270,15 @@
 			}
 			sends[i]++;
 			if (g_rand_int_range(rand, 0, LOST_ONE_IN))
-				crash_ledger_end(&l, beside[i], ends, now);
+				crash_tracker_add_crash(&l, beside[i], ends,
+							now);
 		}
 		if (g_rand_int_range(rand, 0, LOST_ONE_IN))
-			crash_ledger_end(&l, CULPRIT, ends, now + 1);
-		crash_ledger_judge(&l, now + JUDGED_MS);
+			crash_tracker_add_crash(&l, CULPRIT, ends, now + 1);
+		crash_tracker_decide(&l, now + JUDGED_MS);
 	}
 	*blamed += h.count[CRASH_QUARANTINED] - refused(&l, CULPRIT);
-	crash_ledger_free(&l);
+	crash_tracker_free(&l);
 	return ends;
 }
 
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -137,7 +137,7 @@
 	for (int i = 0; i < f->n; i++) {
 		close(f->all[i].channel.sock);
 		store_cancel(&f->all[i].watch.record.store);
-		crash_ledger_free(&f->all[i].watch.ledger);
+		crash_tracker_free(&f->all[i].watch.ledger);
 		g_array_unref(f->all[i].watch.tellings);
 	}
 	ev_loop_destroy(f->loop);
@@ -238,7 +238,7 @@
 
 	three_ends(f);
 	wait_for(f, VERDICT_REFUSE, SMALL);
-	crash_ledger_answered(&f->all[3].watch.ledger, CULPRIT, clock_ms());
+	crash_tracker_add_answer(&f->all[3].watch.ledger, CULPRIT, clock_ms());
 	for (int i = 0; i < f->n; i++)
 		g_array_set_size(f->all[i].watch.tellings, 0);
 	assert_int_equal(count(f, VERDICT_REFUSE), SMALL - 1);
@@ -290,10 +290,10 @@
 	for (uint64_t d = 1000; d < 1200; d++)
 		saw(f, 0, CRASH_NEWS_END, d, (uint32_t)d);
 	for (int i = 0;
-	     i < 100 && !crash_ledger_find(&f->all[3].watch.ledger, 1199); i++)
+	     i < 100 && !crash_tracker_find(&f->all[3].watch.ledger, 1199); i++)
 		run_ms(f, 50);
 	for (uint64_t d = 1000; d < 1200; d++)
-		assert_non_null(crash_ledger_find(&f->all[3].watch.ledger, d));
+		assert_non_null(crash_tracker_find(&f->all[3].watch.ledger, d));
 	end(f);
 }
 
--- a/tests/test_dedup.c
+++ b/tests/test_dedup.c
@@ -28,7 +28,7 @@
 	char key[32];
 
 	for (int i = 0; i < KEYS; i++) {
-		struct dedup_seen seen = {0};
+		struct dedup_result seen = {0};
 
 		snprintf(key, sizeof(key), "K%d", i);
 		if (dedup_begin(r->d, "rezervari", key, &seen))
@@ -58,7 +58,7 @@
 static void test_outcomes(void **state)
 {
 	struct dedup d;
-	struct dedup_seen seen = {0};
+	struct dedup_result seen = {0};
 
 	dedup_init(&d, 100);
 	assert_true(dedup_begin(&d, "becas-pagos", "a", &seen));
@@ -86,7 +86,7 @@
 static void test_bounded(void **state)
 {
 	struct dedup d;
-	struct dedup_seen seen = {0};
+	struct dedup_result seen = {0};
 	char key[16];
 
 	dedup_init(&d, 10);
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -284,28 +284,30 @@
 
 static void test_limits_round_trip(void **state)
 {
-	struct limit_news l = {.peer = peer_id("e3"), .n = LIMIT_NEWS_MAX};
+	struct limit_gossip l = {.peer = peer_id("e3"), .n = LIMIT_GOSSIP_MAX};
 	struct gossip_message m;
 	struct buf b = {0};
 
-	for (unsigned i = 0; i < LIMIT_NEWS_MAX; i++)
-		l.items[i] = (struct limit_item){0xf0000000 + i, i % 2 == 0,
-						 0.1 * i, 1U << 31, 1U << 30};
+	for (unsigned i = 0; i < LIMIT_GOSSIP_MAX; i++)
+		l.items[i] =
+			(struct limit_gossip_item){0xf0000000 + i, i % 2 == 0,
+						   0.1 * i, 1U << 31, 1U << 30};
 	gossip_write_limits(&b, &l);
 	assert_true(b.len <= GOSSIP_MAX);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_LIMIT);
 	assert_false(gossip_names_sender(&m));
 	assert_int_equal(m.limits.peer, peer_id("e3"));
-	assert_int_equal(m.limits.n, LIMIT_NEWS_MAX);
-	for (unsigned i = 0; i < LIMIT_NEWS_MAX; i++) {
-		const struct limit_item *it = &m.limits.items[i];
+	assert_int_equal(m.limits.n, LIMIT_GOSSIP_MAX);
+	for (unsigned i = 0; i < LIMIT_GOSSIP_MAX; i++) {
+		const struct limit_gossip_item *it = &m.limits.items[i];
 
 		assert_int_equal(it->backend, l.items[i].backend);
-		assert_int_equal(it->named, l.items[i].named);
+		assert_int_equal(it->limited, l.items[i].limited);
 		assert_true(it->per_s == l.items[i].per_s);
-		assert_int_equal(it->asked_ago_ms, l.items[i].asked_ago_ms);
-		assert_int_equal(it->heard_ago_ms, l.items[i].heard_ago_ms);
+		assert_int_equal(it->sent_ago_ms, l.items[i].sent_ago_ms);
+		assert_int_equal(it->received_ago_ms,
+				 l.items[i].received_ago_ms);
 	}
 	gossip_message_clear(&m);
 	refuse_prefixes(&b);
@@ -314,7 +316,8 @@
 
 static void test_call_round_trip(void **state)
 {
-	struct limit_call l = {.from = peer_id("e3"), .what = 9, .serial = 11};
+	struct limit_borrow_msg l = {
+		.from = peer_id("e3"), .resource = 9, .serial = 11};
 
 	for (int grant = 0; grant < 2; grant++) {
 		struct gossip_message m;
@@ -327,7 +330,7 @@
 		assert_false(gossip_names_sender(&m));
 		assert_int_equal(m.call.grant, grant);
 		assert_int_equal(m.call.from, peer_id("e3"));
-		assert_int_equal(m.call.what, 9);
+		assert_int_equal(m.call.resource, 9);
 		assert_int_equal(m.call.serial, 11);
 		gossip_message_clear(&m);
 		refuse_prefixes(&b);
@@ -338,11 +341,11 @@
 /* What is no limit is refused, whoever sends it. */
 static void test_leaving_round_trip(void **state)
 {
-	struct drain_news l = {.peer = peer_id("e3"), .n = DRAIN_NEWS_MAX};
+	struct drain_gossip l = {.peer = peer_id("e3"), .n = DRAIN_GOSSIP_MAX};
 	struct gossip_message m;
 	struct buf b = {0};
 
-	for (unsigned i = 0; i < DRAIN_NEWS_MAX; i++) {
+	for (unsigned i = 0; i < DRAIN_GOSSIP_MAX; i++) {
 		memset(l.items[i].id, 'a' + (int)i, BACKEND_NAME_MAX - 1);
 		l.items[i].born_ms = UINT64_MAX - i;
 	}
@@ -352,8 +355,8 @@
 	assert_int_equal(m.kind, GOSSIP_DRAIN);
 	assert_false(gossip_names_sender(&m));
 	assert_int_equal(m.drain.peer, peer_id("e3"));
-	assert_int_equal(m.drain.n, DRAIN_NEWS_MAX);
-	for (unsigned i = 0; i < DRAIN_NEWS_MAX; i++) {
+	assert_int_equal(m.drain.n, DRAIN_GOSSIP_MAX);
+	for (unsigned i = 0; i < DRAIN_GOSSIP_MAX; i++) {
 		assert_string_equal(m.drain.items[i].id, l.items[i].id);
 		assert_true(m.drain.items[i].born_ms == l.items[i].born_ms);
 	}
@@ -365,13 +368,13 @@
 static void test_limits_that_are_none(void **state)
 {
 	static const double bad[] = {-1, NAN, INFINITY};
-	struct limit_news l = {.peer = 1, .n = 1};
+	struct limit_gossip l = {.peer = 1, .n = 1};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
 		struct gossip_message m;
 		struct buf b = {0};
 
-		l.items[0] = (struct limit_item){7, true, bad[i], 1, 1};
+		l.items[0] = (struct limit_gossip_item){7, true, bad[i], 1, 1};
 		gossip_write_limits(&b, &l);
 		assert_int_not_equal(gossip_read(buf_lstr(&b), &m), 0);
 		gossip_message_clear(&m);
--- a/tests/test_limit_room.c
+++ b/tests/test_limit_room.c
@@ -1,5 +1,5 @@
 /*
- * Tests of core/limit_room and of the times that callers are told by it: what a
+ * Tests of core/limit_capacity and of the times that callers are told by it: what a
  * service takes when all its servers are in need.
  */
 #include "tests/unit.h"
@@ -12,16 +12,16 @@
 /* Server i names a limit, of which this instance holds all. */
 static void limit(struct servers *s, int i, double per_s, bool saved)
 {
-	struct limit_sharer self = {1, 1};
-	struct limit_sharers all = {&self, 1};
+	struct limit_instance self = {1, 1};
+	struct limit_instances all = {&self, 1};
 	struct backend *b = s->list[i];
-	struct limit_part part = limit_part(per_s, b->start, &all);
+	struct limit_quota part = limit_quota(per_s, b->start, &all);
 
 	b->state->limit = g_new0(struct backend_limit, 1);
 	b->state->limit->said =
-		(struct server_limit){.named = true, .per_s = per_s};
-	limit_share_begin(&b->state->limit->share, saved, 0);
-	limit_share_set(&b->state->limit->share, &part, 0);
+		(struct server_limit){.limited = true, .per_s = per_s};
+	limit_share_init(&b->state->limit->share, saved, 0);
+	limit_share_set_quota(&b->state->limit->share, &part, 0);
 }
 
 /* One without a limit has room of another kind: nothing is known of waits. */
@@ -31,9 +31,9 @@
 
 	limit(s, 0, 5, true);
 	limit(s, 1, 5, true);
-	assert_false(limit_room(s->service, 0).all);
+	assert_false(limit_capacity(s->service, 0).all_limited);
 	limit(s, 2, 5, true);
-	assert_true(limit_room(s->service, 0).all);
+	assert_true(limit_capacity(s->service, 0).all_limited);
 	servers_free(s);
 }
 
@@ -44,30 +44,30 @@
 
 	limit(s, 0, 5, true);
 	s->list[1]->entry.draining = true;
-	assert_true(limit_room(s->service, 0).all);
+	assert_true(limit_capacity(s->service, 0).all_limited);
 	s->list[0]->entry.draining = true;
-	assert_false(limit_room(s->service, 0).all);
+	assert_false(limit_capacity(s->service, 0).all_limited);
 	servers_free(s);
 }
 
 static void test_waits(void **state)
 {
 	struct servers *s = servers_new(2, 4);
-	struct limit_room room;
+	struct limit_capacity room;
 
 	limit(s, 0, 5, false);
 	limit(s, 1, 5, false);
-	room = limit_room(s->service, 0);
-	assert_int_equal(room.ready, 0);
+	room = limit_capacity(s->service, 0);
+	assert_int_equal(room.available, 0);
 	assert_true(fabs(room.rate_s - 10) < 1e-9);
 	assert_int_equal(room.next_ms, 200);
 	/* The two earn 10 a second together, the first of each after 200 ms. */
-	assert_true(fabs(limit_room_wait_ms(&room, 0) - 200) < 1e-9);
-	assert_true(fabs(limit_room_wait_ms(&room, 9) - 1000) < 1e-9);
-	room = limit_room(s->service, 400);
-	assert_int_equal(room.ready, 4);
-	assert_true(limit_room_wait_ms(&room, 3) == 0);
-	assert_true(fabs(limit_room_wait_ms(&room, 5) - 200) < 1e-6);
+	assert_true(fabs(limit_capacity_wait_ms(&room, 0) - 200) < 1e-9);
+	assert_true(fabs(limit_capacity_wait_ms(&room, 9) - 1000) < 1e-9);
+	room = limit_capacity(s->service, 400);
+	assert_int_equal(room.available, 4);
+	assert_true(limit_capacity_wait_ms(&room, 3) == 0);
+	assert_true(fabs(limit_capacity_wait_ms(&room, 5) - 200) < 1e-6);
 	servers_free(s);
 }
 
@@ -75,15 +75,15 @@
 static void test_nothing_held(void **state)
 {
 	struct servers *s = servers_new(1, 4);
-	struct limit_part none = {.held = false};
-	struct limit_room room;
+	struct limit_quota none = {.held = false};
+	struct limit_capacity room;
 	int64_t promised = 0;
 
 	limit(s, 0, 5, true);
-	limit_share_set(&s->list[0]->state->limit->share, &none, 0);
-	room = limit_room(s->service, 0);
-	assert_true(room.all);
-	assert_true(isinf(limit_room_wait_ms(&room, 0)));
+	limit_share_set_quota(&s->list[0]->state->limit->share, &none, 0);
+	room = limit_capacity(s->service, 0);
+	assert_true(room.all_limited);
+	assert_true(isinf(limit_capacity_wait_ms(&room, 0)));
 	assert_true(retry_after_turn_s(&promised, &room, 0, 900, 0) == 0);
 	servers_free(s);
 }
@@ -92,11 +92,11 @@
 static void test_turns(void **state)
 {
 	struct servers *s = servers_new(1, 4);
-	struct limit_room room;
+	struct limit_capacity room;
 	int64_t promised = 0;
 
 	limit(s, 0, 10, false);
-	room = limit_room(s->service, 0);
+	room = limit_capacity(s->service, 0);
 	for (int i = 1; i <= 5; i++)
 		assert_true(
 			fabs(retry_after_turn_s(&promised, &room, 0, 9000, 0) -
--- a/tests/test_limit_share.c
+++ b/tests/test_limit_share.c
@@ -81,7 +81,7 @@
 		w->all[i].id = g_rand_int(w->rand);
 		w->all[i].runs = true;
 		/* They were there from before the limit. */
-		limit_share_begin(&w->all[i].share, true, 0);
+		limit_share_init(&w->all[i].share, true, 0);
 	}
 	return w;
 }
@@ -102,27 +102,27 @@
 /* Each works out anew what it holds, as it knows the others. */
 static void set_parts(struct world *w, int64_t now_ms)
 {
-	struct limit_sharer list[INSTANCES_MAX];
+	struct limit_instance list[INSTANCES_MAX];
 
 	for (int i = 0; i < w->n; i++) {
 		struct instance *self = &w->all[i];
-		struct limit_sharers s = {list, 0};
-		struct limit_part part;
+		struct limit_instances s = {list, 0};
+		struct limit_quota part;
 
 		if (!self->runs || now_ms < self->still_ms)
 			continue;
-		list[s.n++] = (struct limit_sharer){self->id, 1};
+		list[s.n++] = (struct limit_instance){self->id, 1};
 		for (int k = 0; k < w->n; k++) {
 			const struct instance *o = &w->all[k];
 
 			if (k != i && !o->left && now_ms >= o->known_ms)
-				list[s.n++] = (struct limit_sharer){
+				list[s.n++] = (struct limit_instance){
 					o->id, hears(self, o, now_ms)};
 		}
 		if (now_ms < self->knows_ms)
 			s.n = 0;
-		part = limit_part(w->per_s, SERVER, &s);
-		limit_share_set(&self->share, &part, now_ms);
+		part = limit_quota(w->per_s, SERVER, &s);
+		limit_share_set_quota(&self->share, &part, now_ms);
 	}
 }
 
@@ -134,7 +134,7 @@
 	in->runs = true;
 	in->knows_ms = now_ms + g_rand_int_range(w->rand, 0, 1000);
 	w->lifetimes[i]++;
-	limit_share_begin(&in->share, false, now_ms);
+	limit_share_init(&in->share, false, now_ms);
 	w->changed = true;
 }
 
@@ -189,7 +189,7 @@
 		if (!is_over(w, o, now_ms))
 			continue;
 		if (in && in->runs && o->lifetime_id == w->lifetimes[o->sender])
-			limit_share_end(&in->share, now_ms);
+			limit_share_send_done(&in->share, now_ms);
 		*o = w->on_way[--w->non_way];
 	}
 }
@@ -204,7 +204,7 @@
 static void give_one(struct world *w, int i, int64_t now_ms)
 {
 	limit_share_take(&w->all[i].share, now_ms);
-	limit_share_end(&w->all[i].share, now_ms);
+	limit_share_send_done(&w->all[i].share, now_ms);
 	on_its_way(w, -1, now_ms, g_rand_int_range(w->rand, 1, 400));
 }
 
@@ -407,9 +407,9 @@
 /* Nobody known: nothing is held. */
 static void test_unknown(void **state)
 {
-	struct limit_sharers none = {NULL, 0};
+	struct limit_instances none = {NULL, 0};
 
-	assert_false(limit_part(100, SERVER, &none).held);
+	assert_false(limit_quota(100, SERVER, &none).held);
 }
 
 int main(void)
--- a/tests/test_limit_want.c
+++ b/tests/test_limit_want.c
@@ -1,4 +1,4 @@
-/* Tests of core/limit_want: when peers are asked for a send, and what counts. */
+/* Tests of core/limit_borrow: when peers are asked for a send, and what counts. */
 #include "tests/unit.h"
 
 #include "core/limit_want.h"
@@ -6,18 +6,18 @@
 /* One question at a time; after a few in vain they come less and less often. */
 static void test_pauses(void **state)
 {
-	struct limit_want w = {0};
+	struct limit_borrow w = {0};
 	int64_t now = 1000, before = 0;
 	int64_t pauses[12];
 
 	for (int i = 0; i < 12; i++) {
-		while (!limit_want_is_due(&w, now))
+		while (!limit_borrow_is_due(&w, now))
 			now++;
 		pauses[i] = now - before;
 		before = now;
-		limit_want_ask(&w, now);
-		assert_false(limit_want_is_due(&w, now));
-		assert_int_equal(limit_want_until_ms(&w), now + 20);
+		limit_borrow_request(&w, now);
+		assert_false(limit_borrow_is_due(&w, now));
+		assert_int_equal(limit_borrow_deadline_ms(&w), now + 20);
 	}
 	assert_int_equal(pauses[1], 20);
 	assert_int_equal(pauses[3], 20);
@@ -29,28 +29,28 @@
 /* What comes in answer to the last question counts; then one may ask again soon. */
 static void test_grants(void **state)
 {
-	struct limit_want w = {0};
+	struct limit_borrow w = {0};
 	uint32_t serial = 0;
 
-	assert_false(limit_want_takes(&w, 0, 7, 1000));
+	assert_false(limit_borrow_accept(&w, 0, 7, 1000));
 	for (int i = 0; i < 8; i++)
-		serial = limit_want_ask(&w, 1000 + 3000 * i);
-	assert_false(limit_want_is_due(&w, 22100));
-	assert_false(limit_want_takes(&w, serial - 1, 7, 22010));
-	assert_true(limit_want_takes(&w, serial, 7, 22010));
-	assert_int_equal(w.giver, 7);
-	assert_true(limit_want_is_due(&w, 22100));
-	assert_int_equal(limit_grant_until_ms(22010), 22210);
+		serial = limit_borrow_request(&w, 1000 + 3000 * i);
+	assert_false(limit_borrow_is_due(&w, 22100));
+	assert_false(limit_borrow_accept(&w, serial - 1, 7, 22010));
+	assert_true(limit_borrow_accept(&w, serial, 7, 22010));
+	assert_int_equal(w.lender, 7);
+	assert_true(limit_borrow_is_due(&w, 22100));
+	assert_int_equal(limit_grant_expiry_ms(22010), 22210);
 }
 
 /* One that was read long after it was asked for is of another time. */
 static void test_late_grant(void **state)
 {
-	struct limit_want w = {0};
-	uint32_t serial = limit_want_ask(&w, 1000);
+	struct limit_borrow w = {0};
+	uint32_t serial = limit_borrow_request(&w, 1000);
 
-	assert_true(limit_want_takes(&w, serial, 7, 1200));
-	assert_false(limit_want_takes(&w, serial, 7, 1201));
+	assert_true(limit_borrow_accept(&w, serial, 7, 1200));
+	assert_false(limit_borrow_accept(&w, serial, 7, 1201));
 }
 
 int main(void)
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -15,9 +15,9 @@
 	struct peer_view *v = g_new0(struct peer_view, 1);
 
 	v->instances = others + 1;
-	v->sharers = g_array_new(FALSE, FALSE, sizeof(struct limit_sharer));
+	v->sharers = g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
 	for (unsigned i = 0; i <= others; i++) {
-		struct limit_sharer s = {OTHER - 1 + i, 1};
+		struct limit_instance s = {OTHER - 1 + i, 1};
 
 		g_array_append_val(v->sharers, s);
 	}
@@ -160,14 +160,14 @@
 static void test_told_by_a_peer(void **state)
 {
 	struct bench *b = bench_new(2);
-	struct limit_news *news = g_new0(struct limit_news, 1);
+	struct limit_gossip *news = g_new0(struct limit_gossip, 1);
 
 	tell_sharers(b, 0);
 	acquaint(b);
-	*news = (struct limit_news){.peer = OTHER, .n = 2};
-	news->items[0] =
-		(struct limit_item){backend_of(b, 0)->start, true, 0, 20, 10};
-	news->items[1] = (struct limit_item){12345, true, 0, 20, 10};
+	*news = (struct limit_gossip){.peer = OTHER, .n = 2};
+	news->items[0] = (struct limit_gossip_item){backend_of(b, 0)->start,
+						    true, 0, 20, 10};
+	news->items[1] = (struct limit_gossip_item){12345, true, 0, 20, 10};
 	mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMITS, news);
 	bench_run_ms(b, 5);
 	assert_true(backend_is_limited(backend_of(b, 0)));
@@ -198,20 +198,20 @@
 static void test_limit_lost_with_the_entry(void **state)
 {
 	struct bench *b = bench_new(2);
-	struct limit_part before;
+	struct limit_quota before;
 
 	tell_sharers(b, 0);
 	acquaint(b);
 	b->servers[0].limit = "1";
 	call_times(b, 40);
-	before = backend_of(b, 0)->state->limit->share.part;
+	before = backend_of(b, 0)->state->limit->share.quota;
 	list(b, 0, true);
 	assert_null(backend_of(b, 0));
 	/* Others share it by the time it is back: this one holds less, or nothing. */
 	tell_sharers(b, 300);
 	list(b, 0, false);
 	assert_true(backend_is_limited(backend_of(b, 0)));
-	assert_true(backend_of(b, 0)->state->limit->share.part.rate_s <
+	assert_true(backend_of(b, 0)->state->limit->share.quota.rate_s <
 		    before.rate_s);
 	bench_free(b);
 }
@@ -241,7 +241,7 @@
 static void test_grant(void **state)
 {
 	struct bench *b = bench_new(1);
-	struct limit_call *grant;
+	struct limit_borrow_msg *grant;
 	struct service *s;
 	struct caller *c;
 
@@ -254,10 +254,10 @@
 		c = bench_call(b, "POST", 1000);
 		bench_run_ms(b, 5);
 		assert_true(c->open);
-		grant = g_new0(struct limit_call, 1);
-		*grant = (struct limit_call){true, OTHER, 0,
-					     backend_of(b, 0)->start,
-					     s->want.serial - !asked};
+		grant = g_new0(struct limit_borrow_msg, 1);
+		*grant = (struct limit_borrow_msg){true, OTHER, 0,
+						   backend_of(b, 0)->start,
+						   s->want.serial - !asked};
 		mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMIT_CALL, grant);
 		bench_run_until(b, c);
 		assert_int_equal(c->status, asked ? 200 : 503);
@@ -269,10 +269,10 @@
 
 static void ask_for_one(struct bench *b)
 {
-	struct limit_call *q = g_new0(struct limit_call, 1);
+	struct limit_borrow_msg *q = g_new0(struct limit_borrow_msg, 1);
 
-	*q = (struct limit_call){
-		.from = OTHER, .what = g_str_hash("harta"), .serial = 9};
+	*q = (struct limit_borrow_msg){
+		.from = OTHER, .resource = g_str_hash("harta"), .serial = 9};
 	mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMIT_CALL, q);
 	bench_run_ms(b, 5);
 }
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -137,7 +137,7 @@
 	GArray *all = peers_sharers(t, 6000, now);
 	unsigned n = all->len;
 
-	assert_int_equal(g_array_index(all, struct limit_sharer, 0).id,
+	assert_int_equal(g_array_index(all, struct limit_instance, 0).id,
 			 peer_id(t->self.name));
 	g_array_unref(all);
 	return n;
@@ -159,7 +159,8 @@
 	assert_int_equal(count_sharers(&t, 1000), 3);
 	assert_int_equal(count_sharers(&t, 1000 + 3600 * 1000), 3);
 	all = peers_sharers(&t, 6000, 60000);
-	assert_int_equal(g_array_index(all, struct limit_sharer, 1).heard, 0);
+	assert_int_equal(g_array_index(all, struct limit_instance, 1).reachable,
+			 0);
 	g_array_unref(all);
 	stopping.leaving = true;
 	peers_heard(&t, &stopping, 2000);
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -48,16 +48,16 @@
 	static struct quarantine q;
 
 	quarantine_init(&q);
-	assert_false(quarantine_forgives(&q, 5));
-	assert_false(quarantine_forgives(&q, 0));
+	assert_false(quarantine_take_answer(&q, 5));
+	assert_false(quarantine_take_answer(&q, 0));
 	quarantine_note_answer(&q, 5);
-	assert_false(quarantine_forgives(&q, 5 + ANSWERED_SLOTS));
-	assert_true(quarantine_forgives(&q, 5));
-	assert_false(quarantine_forgives(&q, 5));
+	assert_false(quarantine_take_answer(&q, 5 + ANSWERED_SLOTS));
+	assert_true(quarantine_take_answer(&q, 5));
+	assert_false(quarantine_take_answer(&q, 5));
 	/* Answers to others push it out. */
 	quarantine_note_answer(&q, 5);
 	quarantine_note_answer(&q, 5 + ANSWERED_SLOTS);
-	assert_false(quarantine_forgives(&q, 5));
+	assert_false(quarantine_take_answer(&q, 5));
 }
 
 int main(void)
--- a/tests/test_record_check.c
+++ b/tests/test_record_check.c
@@ -68,7 +68,7 @@
 	store_cancel(&f->check.store);
 	store_cancel(&f->crashes.record.store);
 	close(f->channel.sock);
-	crash_ledger_free(&f->crashes.ledger);
+	crash_tracker_free(&f->crashes.ledger);
 	g_array_unref(f->crashes.tellings);
 	scripted_store_free(f->store);
 	g_free(f);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -136,8 +136,8 @@
 		config_match(c, LSTR("one.example"), LSTR("/a/"));
 
 	assert_false(r->idempotent);
-	assert_int_equal(r->nparts, 2);
-	assert_int_equal(r->parts[0].weight, 90);
+	assert_int_equal(r->nsplits, 2);
+	assert_int_equal(r->splits[0].weight, 90);
 	config_unref(c);
 }
 
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -365,12 +365,12 @@
 	enum { REQUESTS = 8 };
 
 	struct bench *b = bench_new(4);
-	const struct budget_account *a =
+	const struct budget_stats *a =
 		&backend_set_service(&b->traffic.backends, LSTR("harta"))
 			 ->account;
 
-	b->traffic.budget_rule.ratio = 0.5;
-	b->traffic.budget_rule.slack = 0;
+	b->traffic.budget_params.ratio = 0.5;
+	b->traffic.budget_params.slack = 0;
 	for (int i = 0; i < 4; i++)
 		bench_script(b, i, SCRIPT_REFUSE_LATE);
 	for (int i = 0; i < REQUESTS; i++)
@@ -401,13 +401,13 @@
 	struct bench *b = bench_new(1);
 
 	tell_instances(b, 16);
-	assert_int_equal(b->traffic.ask_rule.instances, 16);
+	assert_int_equal(b->traffic.probe_rate.instances, 16);
 	tell_instances(b, 1);
-	assert_int_equal(b->traffic.ask_rule.instances, 16);
-	assert_int_equal(b->traffic.budget_rule.instances, 16);
+	assert_int_equal(b->traffic.probe_rate.instances, 16);
+	assert_int_equal(b->traffic.budget_params.instances, 16);
 	tell_instances(b, 20);
-	assert_int_equal(b->traffic.ask_rule.instances, 20);
-	assert_int_equal(b->traffic.budget_rule.instances, 20);
+	assert_int_equal(b->traffic.probe_rate.instances, 20);
+	assert_int_equal(b->traffic.budget_params.instances, 20);
 	bench_free(b);
 }
 
@@ -421,7 +421,7 @@
 	struct bench *b = bench_new(4);
 	struct caller *calls[120];
 
-	b->traffic.budget_rule.ratio = 1000;
+	b->traffic.budget_params.ratio = 1000;
 	for (int i = 0; i < 120; i++) {
 		bool post = g_rand_boolean(rand);
 
--- a/tests/test_server_backoff.c
+++ b/tests/test_server_backoff.c
@@ -235,7 +235,7 @@
 static void test_drain_news_received_by_a_peer(void **state)
 {
 	struct bench *b = bench_new(2);
-	struct drain_news *news = g_new0(struct drain_news, 1);
+	struct drain_gossip *news = g_new0(struct drain_gossip, 1);
 
 	backend_set_remove(&b->traffic.backends, "i-0");
 	news->n = 2;
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -170,7 +170,8 @@
 
 		b->servers[0].tells_load = b->servers[1].tells_load = false;
 		s->load_support = LOAD_NOT_TOLD;
-		b->traffic.budget_rule.ratio = b->traffic.budget_rule.slack = 0;
+		b->traffic.budget_params.ratio =
+			b->traffic.budget_params.slack = 0;
 		c = bench_call(b, idempotent ? "GET" : "POST", 1000);
 		while (!backend_of(b, 0)->in_flight &&
 		       !backend_of(b, 1)->in_flight)
@@ -185,7 +186,7 @@
 		assert_int_equal(b->traffic.counters.withdrawn, 1);
 		assert_int_equal(backend_of(b, to)->in_flight, 0);
 		assert_int_equal(budget_spent(&s->account), 0);
-		assert_int_equal(s->budget.out, 0);
+		assert_int_equal(s->budget.in_flight, 0);
 		bench_free(b);
 	}
 }
--- a/traffic/drain_news.c
+++ b/traffic/drain_news.c
@@ -34,8 +34,8 @@
 /* Sends what is due; returns whether more will be. */
 static bool tell_due(struct traffic *t, int64_t now_ms)
 {
-	struct drain_news news = {.n = 0};
-	struct drain_news *copy;
+	struct drain_gossip news = {.n = 0};
+	struct drain_gossip *copy;
 	bool more = false;
 	GHashTableIter it;
 	gpointer v;
@@ -43,11 +43,11 @@
 	g_hash_table_iter_init(&it, t->backends.states.all);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct server_state *m = v;
-		struct drain_item *item;
+		struct drain_gossip_item *item;
 
 		if (!m->drain_tells)
 			continue;
-		if (news.n == DRAIN_NEWS_MAX || now_ms < m->drain_tell_ms) {
+		if (news.n == DRAIN_GOSSIP_MAX || now_ms < m->drain_tell_ms) {
 			more = true;
 			continue;
 		}
@@ -98,10 +98,10 @@
 }
 
 /* drain_news_received() applies what a peer has passed on. */
-void drain_news_received(struct traffic *t, const struct drain_news *news)
+void drain_news_received(struct traffic *t, const struct drain_gossip *news)
 {
 	for (unsigned i = 0; i < news->n; i++) {
-		const struct drain_item *it = &news->items[i];
+		const struct drain_gossip_item *it = &news->items[i];
 		struct server_state *m = server_state_get(&t->backends.states,
 							  it->id, it->born_ms);
 		const struct backend *b =
--- a/traffic/drain_news.h
+++ b/traffic/drain_news.h
@@ -9,7 +9,7 @@
 
 void drain_news_init(struct traffic *t);
 void drain_news_announced(struct traffic *t, struct backend *b);
-void drain_news_received(struct traffic *t, const struct drain_news *news);
+void drain_news_received(struct traffic *t, const struct drain_gossip *news);
 void drain_news_peers_changed(struct traffic *t);
 
 #endif
--- a/traffic/end_check.c
+++ b/traffic/end_check.c
@@ -53,7 +53,7 @@
 static void note_end(struct traffic *t, const struct backend *b,
 		     uint64_t digest)
 {
-	if (!quarantine_forgives(&t->quarantine, digest))
+	if (!quarantine_take_answer(&t->quarantine, digest))
 		report(t, CRASH_NEWS_END, digest,
 		       backend_start_hash(&b->entry));
 }
@@ -185,8 +185,8 @@
 
 static bool may_ask(struct traffic *t)
 {
-	return ask_budget_take(&t->asks, &t->ask_rule, traffic_servers(t), 1, 1,
-			       clock_ms()) == 1;
+	return probe_budget_take(&t->asks, &t->probe_rate, traffic_servers(t),
+				 1, 1, clock_ms()) == 1;
 }
 
 static void on_again(struct ev_loop *loop, ev_timer *timer, int revents)
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -57,10 +57,9 @@
 
 	if (f->awaited && own)
 		limits_answer(t, b, &f->info, f->sent_ms,
-			      f->question ? LIMIT_BY_QUESTION
-					  : LIMIT_BY_ANSWER);
+			      f->question ? LIMIT_BY_PROBE : LIMIT_BY_RESPONSE);
 	else if (!f->awaited && f->info.limit == LIMIT_NAMED)
-		limits_answer(t, b, &f->info, 0, LIMIT_BY_ANSWER);
+		limits_answer(t, b, &f->info, 0, LIMIT_BY_RESPONSE);
 }
 
 /* feedback_apply() takes in a response from b's address. */
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -54,7 +54,7 @@
 		 payers[s->payer], s->sent_ms - l->said.since_ms, t->lifetime,
 		 s->sent_ms - t->started_ms,
 		 t->peers.sharers ? t->peers.sharers->len : 0,
-		 l->share.part.rate_s, l->share.tokens, l->share.out);
+		 l->share.quota.rate_s, l->share.tokens, l->share.in_flight);
 }
 
 /*
@@ -76,13 +76,13 @@
 void limit_sends_ended(struct send *s, int64_t now_ms)
 {
 	if (s->payer == LIMIT_PAYS_OWN)
-		limit_share_end(&s->backend->state->limit->share, now_ms);
+		limit_share_send_done(&s->backend->state->limit->share, now_ms);
 	s->payer = LIMIT_PAYS_NONE;
 }
 
-static void call_peers(struct traffic *t, const struct limit_call *call)
+static void call_peers(struct traffic *t, const struct limit_borrow_msg *call)
 {
-	struct limit_call *copy = g_memdup2(call, sizeof(*call));
+	struct limit_borrow_msg *copy = g_memdup2(call, sizeof(*call));
 
 	/* With a full queue it is lost like a datagram. */
 	if (mailbox_send(t->control, FROM_TRAFFIC_LIMIT_CALL, copy))
@@ -95,14 +95,15 @@
  */
 int64_t limit_sends_want(struct traffic *t, struct service *s, int64_t now_ms)
 {
-	struct limit_want *w = &s->want;
-	struct limit_call call = {.to = w->giver, .what = g_str_hash(s->name)};
+	struct limit_borrow *w = &s->want;
+	struct limit_borrow_msg call = {.to = w->lender,
+					.resource = g_str_hash(s->name)};
 
-	if (limit_want_is_due(w, now_ms)) {
-		call.serial = limit_want_ask(w, now_ms);
+	if (limit_borrow_is_due(w, now_ms)) {
+		call.serial = limit_borrow_request(w, now_ms);
 		call_peers(t, &call);
 	}
-	return limit_want_until_ms(w);
+	return limit_borrow_deadline_ms(w);
 }
 
 static struct service *find_service(struct traffic *t, uint32_t hash)
@@ -142,13 +143,13 @@
  * Gives one send up for a peer. It is taken, and ended, before it is told: the
  * peer's request arrives within some 0.4 s, for which the rule has room, or never.
  */
-static void give(struct traffic *t, const struct limit_call *question)
+static void give(struct traffic *t, const struct limit_borrow_msg *question)
 {
 	int64_t now_ms = clock_ms();
-	struct service *s = find_service(t, question->what);
-	struct limit_call grant = {.grant = true,
-				   .to = question->from,
-				   .serial = question->serial};
+	struct service *s = find_service(t, question->resource);
+	struct limit_borrow_msg grant = {.grant = true,
+					 .to = question->from,
+					 .serial = question->serial};
 	struct backend *b;
 
 	if (!s || s->waiting.length ||
@@ -158,32 +159,32 @@
 	if (!b)
 		return;
 	limit_share_take(&b->state->limit->share, now_ms);
-	limit_share_end(&b->state->limit->share, now_ms);
+	limit_share_send_done(&b->state->limit->share, now_ms);
 	t->counters.limits_given++;
 	mp_event(EV_LIMIT_GIVEN, G_LOG_LEVEL_INFO,
 		 "backend=%s service=%s peer_id=%08x left=%.2f", b->entry.id,
 		 s->name, question->from, b->state->limit->share.tokens);
-	grant.what = b->start;
+	grant.resource = b->start;
 	call_peers(t, &grant);
 }
 
 /* A peer has given a send up for this instance. */
-static void take_grant(struct traffic *t, const struct limit_call *grant)
+static void take_grant(struct traffic *t, const struct limit_borrow_msg *grant)
 {
-	struct backend *b = limits_find(t, grant->what);
+	struct backend *b = limits_find(t, grant->resource);
 	int64_t now_ms = clock_ms();
 
 	if (!b || !backend_is_limited(b) ||
-	    !limit_want_takes(&b->service->want, grant->serial, grant->from,
-			      now_ms))
+	    !limit_borrow_accept(&b->service->want, grant->serial, grant->from,
+				 now_ms))
 		return;
 	t->counters.limits_granted++;
-	b->state->limit->granted_ms = limit_grant_until_ms(now_ms);
+	b->state->limit->granted_ms = limit_grant_expiry_ms(now_ms);
 	request_use_room(t, b);
 }
 
 /* limit_sends_called() takes in what a peer asks for, or grants. */
-void limit_sends_called(struct traffic *t, const struct limit_call *call)
+void limit_sends_called(struct traffic *t, const struct limit_borrow_msg *call)
 {
 	if (call->grant)
 		take_grant(t, call);
--- a/traffic/limit_sends.h
+++ b/traffic/limit_sends.h
@@ -10,6 +10,6 @@
 void limit_sends_take(struct send *s);
 void limit_sends_ended(struct send *s, int64_t now_ms);
 int64_t limit_sends_want(struct traffic *t, struct service *s, int64_t now_ms);
-void limit_sends_called(struct traffic *t, const struct limit_call *call);
+void limit_sends_called(struct traffic *t, const struct limit_borrow_msg *call);
 
 #endif
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -35,9 +35,9 @@
 static const double TOLD_STEP = 0.1;
 
 static void log_change(const struct backend *b, enum limit_change change,
-		       const struct limit_word *w, double before)
+		       const struct limit_report *w, double before)
 {
-	const struct limit_part *p = &b->state->limit->share.part;
+	const struct limit_quota *p = &b->state->limit->share.quota;
 
 	mp_event(change == LIMIT_ENDED ? EV_LIMIT_ENDED : EV_LIMIT_NAMED,
 		 G_LOG_LEVEL_MESSAGE,
@@ -46,8 +46,8 @@
 		 " heard_ago_ms=%" G_GINT64_FORMAT
 		 " own_per_s=%.3f own_depth=%.2f",
 		 b->entry.id, b->service->name, b->state->limit->said.per_s,
-		 before, limit_source_name(w->source), clock_ms() - w->asked_ms,
-		 clock_ms() - w->heard_ms, p->rate_s, p->depth);
+		 before, limit_source_name(w->source), clock_ms() - w->sent_ms,
+		 clock_ms() - w->received_ms, p->rate_s, p->depth);
 }
 
 /* A number that is none says neither that there is a limit nor that it ended. */
@@ -68,15 +68,15 @@
 static void set_part(struct traffic *t, struct backend *b)
 {
 	const GArray *known = t->peers.sharers;
-	struct limit_sharers sharers = {.n = 0};
-	struct limit_part part;
+	struct limit_instances sharers = {.n = 0};
+	struct limit_quota part;
 
 	if (known)
-		sharers = (struct limit_sharers){
-			(const struct limit_sharer *)(void *)known->data,
+		sharers = (struct limit_instances){
+			(const struct limit_instance *)(void *)known->data,
 			known->len};
-	part = limit_part(b->state->limit->said.per_s, b->start, &sharers);
-	limit_share_set(&b->state->limit->share, &part, clock_ms());
+	part = limit_quota(b->state->limit->said.per_s, b->start, &sharers);
+	limit_share_set_quota(&b->state->limit->share, &part, clock_ms());
 }
 
 static void arm(struct traffic *t, int ms)
@@ -99,7 +99,7 @@
 
 	if (change == LIMIT_CHANGED)
 		return step > TOLD_STEP * l->told_per_s;
-	return change != LIMIT_SAME;
+	return change != LIMIT_UNCHANGED;
 }
 
 /*
@@ -107,21 +107,21 @@
  * worth telling.
  */
 static bool hear(struct traffic *t, struct backend *b,
-		 const struct limit_word *w)
+		 const struct limit_report *w)
 {
 	int64_t now_ms = clock_ms();
 	double before = b->state->limit ? b->state->limit->said.per_s : 0;
 	enum limit_change change;
 
-	if (!b->state->limit && !w->named)
+	if (!b->state->limit && !w->limited)
 		return false;
 	if (!b->state->limit) {
 		b->state->limit = g_new0(struct backend_limit, 1);
-		limit_share_begin(&b->state->limit->share, b->state->was_free,
-				  now_ms);
+		limit_share_init(&b->state->limit->share, b->state->was_free,
+				 now_ms);
 	}
-	change = server_limit_hear(&b->state->limit->said, w, now_ms);
-	if (change == LIMIT_SAME)
+	change = server_limit_update(&b->state->limit->said, w, now_ms);
+	if (change == LIMIT_UNCHANGED)
 		return false;
 	set_part(t, b);
 	arm(t, TICK_MS);
@@ -132,9 +132,9 @@
 	return true;
 }
 
-static void send_news(struct traffic *t, const struct limit_news *news)
+static void send_news(struct traffic *t, const struct limit_gossip *news)
 {
-	struct limit_news *copy = g_memdup2(news, sizeof(*news));
+	struct limit_gossip *copy = g_memdup2(news, sizeof(*news));
 
 	/* With a full queue it is lost like a datagram. */
 	if (mailbox_send(t->control, FROM_TRAFFIC_LIMITS, copy))
@@ -157,17 +157,17 @@
 }
 
 /* Adds what is known of b's limit. */
-static void add_item(struct limit_news *news, const struct backend *b,
+static void add_item(struct limit_gossip *news, const struct backend *b,
 		     int64_t now_ms)
 {
 	const struct server_limit *l = &b->state->limit->said;
 
-	news->items[news->n++] = (struct limit_item){
+	news->items[news->n++] = (struct limit_gossip_item){
 		.backend = b->start,
-		.named = l->named,
+		.limited = l->limited,
 		.per_s = l->per_s,
-		.asked_ago_ms = age_ms(l->asked_ms, now_ms),
-		.heard_ago_ms = age_ms(l->heard_ms, now_ms),
+		.sent_ago_ms = age_ms(l->sent_ms, now_ms),
+		.received_ago_ms = age_ms(l->received_ms, now_ms),
 	};
 }
 
@@ -179,12 +179,12 @@
 		   const struct answer_info *info, int64_t asked_ms,
 		   enum limit_source source)
 {
-	struct limit_news news = {.n = 0};
-	struct limit_word w = {
-		.named = info->limit == LIMIT_NAMED,
+	struct limit_gossip news = {.n = 0};
+	struct limit_report w = {
+		.limited = info->limit == LIMIT_NAMED,
 		.per_s = info->limit_per_s,
-		.asked_ms = asked_ms,
-		.heard_ms = clock_ms(),
+		.sent_ms = asked_ms,
+		.received_ms = clock_ms(),
 		.source = source,
 	};
 
@@ -193,16 +193,16 @@
 		return;
 	}
 	b->state->limit_bad = false;
-	b->state->was_free =
-		b->state->was_free || (!w.named && source == LIMIT_BY_ANSWER);
+	b->state->was_free = b->state->was_free ||
+			     (!w.limited && source == LIMIT_BY_RESPONSE);
 	if (!hear(t, b, &w))
 		return;
-	was_told(t, b, w.heard_ms);
-	if (!b->state->limit->said.named) {
+	was_told(t, b, w.received_ms);
+	if (!b->state->limit->said.limited) {
 		b->state->limit->end_tells = END_TELLS;
-		b->state->limit->tell_ms = w.heard_ms + END_AGAIN_MS;
+		b->state->limit->tell_ms = w.received_ms + END_AGAIN_MS;
 	}
-	add_item(&news, b, w.heard_ms);
+	add_item(&news, b, w.received_ms);
 	send_news(t, &news);
 }
 
@@ -223,18 +223,18 @@
 }
 
 /* limits_told() takes in what a peer says that servers have said. */
-void limits_told(struct traffic *t, const struct limit_news *news)
+void limits_told(struct traffic *t, const struct limit_gossip *news)
 {
 	int64_t now_ms = clock_ms();
 
 	for (unsigned i = 0; i < news->n; i++) {
-		const struct limit_item *it = &news->items[i];
+		const struct limit_gossip_item *it = &news->items[i];
 		struct backend *b = limits_find(t, it->backend);
-		struct limit_word w = {
-			.named = it->named,
+		struct limit_report w = {
+			.limited = it->limited,
 			.per_s = it->per_s,
-			.asked_ms = now_ms - it->asked_ago_ms - ON_ITS_WAY_MS,
-			.heard_ms = now_ms - it->heard_ago_ms,
+			.sent_ms = now_ms - it->sent_ago_ms - ON_ITS_WAY_MS,
+			.received_ms = now_ms - it->received_ago_ms,
 			.source = LIMIT_BY_PEER,
 		};
 
@@ -256,7 +256,8 @@
 	guint heard = 0;
 
 	for (guint i = 0; known && i < known->len; i++)
-		heard += g_array_index(known, struct limit_sharer, i).heard;
+		heard += g_array_index(known, struct limit_instance, i)
+				 .reachable;
 	return known && 2 * heard > known->len;
 }
 
@@ -269,7 +270,7 @@
 {
 	struct backend_limit *l = b->state->limit;
 
-	if (l->share.part.held || !hears_most(t) ||
+	if (l->share.quota.held || !hears_most(t) ||
 	    !server_limit_is_stale(&l->said, now_ms)) {
 		l->looks = false;
 		l->look_ms = 0;
@@ -291,7 +292,7 @@
 static bool is_due(const struct backend *b, int64_t now_ms)
 {
 	bool concerned = backend_is_limited(b)
-				 ? b->state->limit->share.part.held
+				 ? b->state->limit->share.quota.held
 				 : b->state->limit->end_tells > 0;
 
 	return concerned && now_ms >= b->state->limit->tell_ms;
@@ -312,7 +313,7 @@
 {
 	struct traffic *t = timer->data;
 	int64_t now_ms = clock_ms();
-	struct limit_news news = {.n = 0};
+	struct limit_gossip news = {.n = 0};
 	bool any = false;
 	GHashTableIter it;
 	gpointer v;
@@ -326,7 +327,7 @@
 			continue;
 		any = true;
 		plan_look(t, b, now_ms);
-		if (news.n == LIMIT_NEWS_MAX || !is_due(b, now_ms))
+		if (news.n == LIMIT_GOSSIP_MAX || !is_due(b, now_ms))
 			continue;
 		plan_tell(t, b, now_ms);
 		add_item(&news, b, now_ms);
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -58,7 +58,7 @@
 		{"backoff_left_ms", rest > 0 ? (double)rest : 0},
 		{"limit_per_s", limited ? b->state->limit->said.per_s : -1},
 		{"limit_own_per_s",
-		 limited ? b->state->limit->share.part.rate_s : -1},
+		 limited ? b->state->limit->share.quota.rate_s : -1},
 	};
 
 	for (size_t i = 0; i < sizeof(gauges) / sizeof(*gauges); i++)
@@ -71,7 +71,7 @@
 /* What this lifetime did beyond first sends; sums over all go by the rule. */
 static void write_account(struct buf *out, const struct service *s)
 {
-	const struct budget_account *a = &s->account;
+	const struct budget_stats *a = &s->account;
 
 	buf_printf(out,
 		   "service_requests{service=\"%s\"} %" G_GUINT64_FORMAT "\n",
@@ -98,7 +98,7 @@
 	buf_printf(out, "service_waiting{service=\"%s\"} %u\n", s->name,
 		   s->waiting.length);
 	buf_printf(out, "service_retries_left{service=\"%s\"} %.1f\n", s->name,
-		   budget_left(&s->budget, &t->budget_rule, clock_boot_ms()));
+		   budget_left(&s->budget, &t->budget_params, clock_boot_ms()));
 	write_account(out, s);
 }
 
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -113,7 +113,7 @@
 	int64_t now_ms = clock_ms();
 	int64_t left_ms = request_left_ms(r, now_ms);
 	struct admit_request view = request_view(r, now_ms);
-	struct limit_room room = limit_room(r->service, now_ms);
+	struct limit_capacity room = limit_capacity(r->service, now_ms);
 	int64_t resume_ms = service_resume_ms(r->service, now_ms);
 	double random = g_rand_double(r->traffic->rand);
 	double soon = resume_ms ? retry_after_resume_s(
@@ -125,9 +125,9 @@
 
 	r->traffic->trouble_ms = now_ms;
 	refuse(r,
-	       resume_ms  ? "servers backing off"
-	       : room.all ? "servers in need"
-			  : why,
+	       resume_ms	  ? "servers backing off"
+	       : room.all_limited ? "servers in need"
+				  : why,
 	       MAX(soon, turn));
 }
 
@@ -214,7 +214,7 @@
 /* request_retries_left() tells what the service's retry budget still allows. */
 double request_retries_left(const struct request *r)
 {
-	return budget_left(&r->service->budget, &r->traffic->budget_rule,
+	return budget_left(&r->service->budget, &r->traffic->budget_params,
 			   clock_boot_ms());
 }
 
@@ -223,7 +223,7 @@
 {
 	if (!request_is_out(r))
 		return EXTRA_RETRY;
-	return r->rescue ? EXTRA_RESCUE : EXTRA_SECOND;
+	return r->rescue ? EXTRA_RESCUE : EXTRA_HEDGE;
 }
 
 /*
@@ -248,7 +248,7 @@
 	    quarantine_kind(&t->quarantine, r->digest) != VERDICT_CLEAR)
 		return false;
 	if (r->nsends == 0 || budget_allows(&r->service->budget,
-					    &t->budget_rule, clock_boot_ms()))
+					    &t->budget_params, clock_boot_ms()))
 		return true;
 	r->service->account.denied[request_extra_cause(r)]++;
 	return false;
@@ -413,7 +413,8 @@
 	r->timer.data = r;
 	t->open_requests++;
 	r->stats->requests++;
-	budget_request(&r->service->budget, &t->budget_rule, clock_boot_ms());
+	budget_add_request(&r->service->budget, &t->budget_params,
+			   clock_boot_ms());
 	r->service->account.requests++;
 	http_conn_set_user(c, r);
 	request_place(r, PLACE_FIRST);
--- a/traffic/request_log.c
+++ b/traffic/request_log.c
@@ -90,7 +90,7 @@
 	const struct traffic *t = r->traffic;
 	const struct service *s = r->service;
 	struct budget_window w =
-		budget_window(&s->budget, &t->budget_rule, clock_boot_ms());
+		budget_window(&s->budget, &t->budget_params, clock_boot_ms());
 
 	mp_event(EV_REQUEST_EXTRA, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64
--- a/traffic/request_place.c
+++ b/traffic/request_place.c
@@ -51,7 +51,7 @@
 static void give_back(struct request *r)
 {
 	if (r->reserved)
-		budget_give_back(&r->service->budget);
+		budget_refund(&r->service->budget);
 	r->reserved = false;
 }
 
@@ -99,9 +99,9 @@
 	unsigned n = place_choose(&q, want, chosen);
 	bool first = r->nasks == 0 && r->waits == 0;
 
-	n = ask_budget_take(&r->traffic->asks, &r->traffic->ask_rule,
-			    traffic_servers(r->traffic), n, first ? 1 : 0,
-			    now_ms);
+	n = probe_budget_take(&r->traffic->asks, &r->traffic->probe_rate,
+			      traffic_servers(r->traffic), n, first ? 1 : 0,
+			      now_ms);
 
 	for (unsigned i = 0; i < n; i++)
 		ask_start(r, chosen[i]);
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -23,8 +23,8 @@
 
 	s->upstream = NULL;
 	if (s->extra)
-		budget_end(&s->request->service->budget, &t->budget_rule,
-			   clock_boot_ms());
+		budget_send_done(&s->request->service->budget,
+				 &t->budget_params, clock_boot_ms());
 	limit_sends_ended(s, clock_ms());
 	s->backend->in_flight--;
 	share_changed(t, s->backend->service);
@@ -168,7 +168,7 @@
 	request_log_withdrawn(r, s, now_ms);
 	s->upstream = NULL;
 	if (s->extra)
-		budget_give_back(&r->service->budget);
+		budget_refund(&r->service->budget);
 	limit_sends_ended(s, now_ms);
 	s->backend->in_flight--;
 	share_changed(r->traffic, s->backend->service);
--- a/traffic/request_wait.c
+++ b/traffic/request_wait.c
@@ -85,10 +85,11 @@
 }
 
 /* Whether a request with so many before it gets its turn while it may wait. */
-static bool gets_turn(const struct request *r, const struct limit_room *room,
-		      unsigned before, int64_t now_ms)
+static bool gets_turn(const struct request *r,
+		      const struct limit_capacity *room, unsigned before,
+		      int64_t now_ms)
 {
-	double wait = limit_room_wait_ms(room, before);
+	double wait = limit_capacity_wait_ms(room, before);
 
 	return (double)now_ms + wait <= (double)wait_end_ms(r, now_ms);
 }
@@ -114,7 +115,7 @@
 /* The last of those behind r that gets no turn in time; NULL: there is none. */
 static struct request *last_hopeless(const GQueue *waiting,
 				     const struct request *r,
-				     const struct limit_room *room,
+				     const struct limit_capacity *room,
 				     int64_t now_ms)
 {
 	unsigned before = waiting->length;
@@ -136,7 +137,7 @@
  * and may end any of these, r too: so the queue is looked at anew each time.
  */
 static void refuse_hopeless(const GQueue *waiting, const struct request *r,
-			    const struct limit_room *room, int64_t now_ms)
+			    const struct limit_capacity *room, int64_t now_ms)
 {
 	struct request *last;
 
@@ -148,7 +149,7 @@
  * All servers of the service are in need, so that it is known when a request gets
  * its turn: it waits for that, or for what a peer may give up, or is refused at once.
  */
-static void wait_for_limit(struct request *r, const struct limit_room *room,
+static void wait_for_limit(struct request *r, const struct limit_capacity *room,
 			   int64_t now_ms)
 {
 	int64_t until = now_ms + (room->next_ms > 0 ? room->next_ms : WAIT_MS);
@@ -211,7 +212,7 @@
 void request_wait(struct request *r, int64_t now_ms)
 {
 	struct admit_request view = request_view(r, now_ms);
-	struct limit_room room = limit_room(r->service, now_ms);
+	struct limit_capacity room = limit_capacity(r->service, now_ms);
 	int64_t resume_ms = service_resume_ms(r->service, now_ms);
 
 	if (admit_can_be_on_time(&view) && r->placement != PLACE_HEDGE)
@@ -223,7 +224,7 @@
 		request_arm(r);
 	} else if (resume_ms) {
 		wait_for_resume(r, resume_ms, now_ms);
-	} else if (room.all) {
+	} else if (room.all_limited) {
 		wait_for_limit(r, &room, now_ms);
 	} else {
 		wait_for_room(r, now_ms);
@@ -239,7 +240,7 @@
 	const struct request *first = g_queue_peek_head(&r->service->waiting);
 
 	return first && compare_waiting(first, r, NULL) < 0 &&
-	       limit_room(r->service, now_ms).all;
+	       limit_capacity(r->service, now_ms).all_limited;
 }
 
 /*
@@ -249,12 +250,12 @@
 bool request_wait_yields(struct request *r, int64_t now_ms)
 {
 	struct request *first = g_queue_peek_head(&r->service->waiting);
-	struct limit_room room;
+	struct limit_capacity room;
 
 	if (!r->queued || first == r || r->yielded)
 		return false;
-	room = limit_room(r->service, now_ms);
-	if (!room.all || room.ready == 0)
+	room = limit_capacity(r->service, now_ms);
+	if (!room.all_limited || room.available == 0)
 		return false;
 	r->yielded = true;
 	r->wait_until_ms = now_ms + 1;
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -244,10 +244,10 @@
 static void take_bounds(struct traffic *t, const struct bounds *b)
 {
 	t->bounds = *b;
-	t->budget_rule.ratio = b->retry_ratio;
-	t->budget_rule.slack = b->retry_slack;
-	t->budget_rule.window_ms = (uint32_t)(b->retry_window_s * 1000);
-	t->ask_rule.per_server_s = b->questions_per_s;
+	t->budget_params.ratio = b->retry_ratio;
+	t->budget_params.slack = b->retry_slack;
+	t->budget_params.window_ms = (uint32_t)(b->retry_window_s * 1000);
+	t->probe_rate.per_server_s = b->questions_per_s;
 }
 
 /*
@@ -263,8 +263,8 @@
 	t->peers = *v;
 	if (v->instances > t->most_instances)
 		t->most_instances = v->instances;
-	t->budget_rule.instances = t->most_instances;
-	t->ask_rule.instances = t->most_instances;
+	t->budget_params.instances = t->most_instances;
+	t->probe_rate.instances = t->most_instances;
 	limits_peers_changed(t);
 	drain_news_peers_changed(t);
 }
@@ -377,9 +377,9 @@
 	t->started_ms = clock_ms();
 	t->classes = g_hash_table_new(g_str_hash, g_str_equal);
 	/* Unknown yet: as many as a large system has. */
-	t->ask_rule.instances = 64;
-	t->budget_rule.instances = 1;
-	ask_budget_init(&t->asks, t->started_ms);
+	t->probe_rate.instances = 64;
+	t->budget_params.instances = 1;
+	probe_budget_init(&t->asks, t->started_ms);
 	take_bounds(t, &s->bounds);
 	share_init(t);
 	limits_init(t);
--- a/traffic/traffic.h
+++ b/traffic/traffic.h
@@ -13,7 +13,7 @@
 #include "core/backend.h"
 #include "core/config.h"
 #include "core/dedup.h"
-#include "core/limit_news.h"
+#include "core/limit_gossip.h"
 #include "core/patience.h"
 #include "core/quarantine.h"
 #include "http/server.h"
@@ -56,9 +56,9 @@
 	bool share_pending;
 	struct peer_view peers;
 	unsigned most_instances; /* that lived at once, in this lifetime */
-	struct budget_rule budget_rule;
-	struct ask_rule ask_rule;
-	struct ask_budget asks;
+	struct budget_params budget_params;
+	struct probe_rate probe_rate;
+	struct probe_budget asks;
 	GRand *rand;
 	uint32_t lifetime; /* names this start of the process in logs */
 	char *via;	   /* and to servers; NULL: it isn't named to them */
