--- a/core/ask_budget.c
+++ b/core/ask_budget.c
@@ -1,30 +1,31 @@
 #include "core/ask_budget.h"
 
 /*
- * Part of the allowed rate that fills the bucket. The rest pays what first
- * questions may spend ahead of time, which lasts 20 s to earn.
+ * Fraction of the allowed rate that refills the bucket. The remainder pays for
+ * first probes sent on credit: it takes 20 s to earn one second of the rate.
  */
-static const double USED_SHARE = 0.95;
+static const double REFILL_FRACTION = 0.95;
 
-/* Seconds of the rate that may be saved up, and spent ahead of time. */
-static const double SAVED_S = 3;
-static const double AHEAD_S = 1;
+/* Bucket depth and largest debt, in seconds of the rate. */
+static const double BURST_S = 3;
+static const double DEBT_S = 1;
 
 /*
- * What may be spent ahead grows with the lifetime: a process forgets the debt of
- * the one before, and so none may ask more than the rate gives it in its own
- * time. Debts from the start add up where all instances are killed again and again.
+ * Returns the largest debt that is allowed now. It grows with the age of the
+ * process: a new process knows nothing of its predecessor's debt, so without
+ * this bound the debts of instances that are killed again and again would add
+ * up to more than the rate.
  */
-static double ahead(const struct probe_budget *b, double full_rate,
-		    int64_t now_ms)
+static double max_debt(const struct probe_budget *b, double full_rate,
+		       int64_t now_ms)
 {
 	double age_s = (double)(now_ms - b->started_ms) / 1000;
-	double earned_s = (1 - USED_SHARE) * age_s;
+	double earned_s = (1 - REFILL_FRACTION) * age_s;
 
-	return full_rate * (earned_s < AHEAD_S ? earned_s : AHEAD_S);
+	return full_rate * (earned_s < DEBT_S ? earned_s : DEBT_S);
 }
 
-/* probe_budget_init() begins a lifetime: nothing is saved up. */
+/* Initializes the budget of a process that starts now, with no tokens. */
 void probe_budget_init(struct probe_budget *b, int64_t now_ms)
 {
 	b->tokens = 0;
@@ -33,9 +34,9 @@
 }
 
 /*
- * probe_budget_take() grants up to `want` questions now. `least` of them (a
- * request's first ones) may be spent ahead of time, within bounds; the rest
- * only as far as tokens are there. Returns the number granted.
+ * Takes up to `want` probes out of the budget and returns the number granted.
+ * `least` of them (the first probes of a request) may be taken on credit, up
+ * to the largest debt; the others need tokens.
  */
 unsigned probe_budget_take(struct probe_budget *b, const struct probe_rate *r,
 			   unsigned servers, unsigned want, unsigned least,
@@ -43,16 +44,16 @@
 {
 	unsigned n = r->instances ? r->instances : 1;
 	double full_rate = r->per_server_s * servers / n;
-	double rate = USED_SHARE * full_rate;
+	double rate = REFILL_FRACTION * full_rate;
 	double granted;
 
 	b->tokens += rate * (double)(now_ms - b->updated_ms) / 1000;
-	if (b->tokens > rate * SAVED_S)
-		b->tokens = rate * SAVED_S;
+	if (b->tokens > rate * BURST_S)
+		b->tokens = rate * BURST_S;
 	b->updated_ms = now_ms;
 	granted = b->tokens;
 	if (granted < least)
-		granted = b->tokens + ahead(b, full_rate, now_ms) >= least
+		granted = b->tokens + max_debt(b, full_rate, now_ms) >= least
 				  ? least
 				  : 0;
 	if (granted > want)
--- a/core/ask_budget.h
+++ b/core/ask_budget.h
@@ -1,7 +1,7 @@
 /*
- * How many questions for load one instance may ask the backend servers. All
- * instances together keep to a rate a server, also on the busiest moments: a
- * token bucket on each instance holds its part.
+ * Rate limit of the load probes that one instance sends to backend servers. A
+ * token bucket on each instance holds its part of a rate per server that all
+ * instances together keep to, also during load peaks.
  */
 #ifndef MP_CORE_ASK_BUDGET_H
 #define MP_CORE_ASK_BUDGET_H
@@ -9,13 +9,13 @@
 #include <stdint.h>
 
 struct probe_rate {
-	double per_server_s; /* questions a server and second, of all */
-	unsigned instances;  /* that share them */
+	double per_server_s; /* probes per server and second, all instances */
+	unsigned instances;  /* instances that share the rate */
 };
 
 struct probe_budget {
-	double tokens;	    /* below zero: first questions went ahead of time */
-	int64_t updated_ms; /* tokens are right as of then */
+	double tokens;	    /* negative: first probes were sent on credit */
+	int64_t updated_ms; /* time up to which tokens were added */
 	int64_t started_ms;
 };
 
--- a/core/budget.h
+++ b/core/budget.h
@@ -1,35 +1,37 @@
 /*
- * The retry budget of one service: how many more sends than requests this
- * instance may make. All instances together must keep to the system's rule: in
- * any window W no more sends beyond the first of their request than
+ * Retry budget of one service: how many sends beyond the first of each request
+ * (extra sends) this instance may make. All instances together must keep to the
+ * system's limit: in any window W at most
  *     ratio x requests + slack
- * where the requests are those of W, of the window before it or of the one half
- * a window before it, whichever has most.
+ * extra sends, where the requests are those of W, of the window before it or of
+ * the window that begins half a window before W, whichever has most.
  *
- * No instance knows how many others there are, what they have spent, nor what
- * the process before it spent: counts go wrong in cuts, memory is lost with a
- * process. So each lifetime of a process keeps to a rule of its own, in every
- * window W, that adds up to the system's whatever the lifetimes are:
+ * An instance doesn't know how many others there are, what they have sent, or
+ * what its own process had sent before a restart: during a network partition
+ * counts are wrong, and memory is lost with the process. So each process
+ * lifetime keeps to a limit of its own in every window W, and these limits add
+ * up to the system's, whatever the lifetimes are:
  *     sends <= ratio x mean of its requests in the three windows + credit
- * What is summed are its own sends and its own requests, with the same weights
- * everywhere, so the sum over all lifetimes is at most ratio times the mean of
- * the system's three windows, which is no more than the largest, and the credits.
- * Callers may move, instances may come and go: a lifetime that begins owns
- * nothing, one that ends takes with it what it had not spent. An instance that
- * took the largest of its own three windows would not do: each could take another
- * one.
+ * Each lifetime counts only its own sends and requests, with the same weights
+ * everywhere. So the sum over all lifetimes is at most the ratio times the mean
+ * of the system's three windows, which doesn't exceed the largest of them, plus
+ * the credits. Callers may move and instances may come and go: a new lifetime
+ * has nothing, and what a lifetime hasn't spent is lost with it. Taking the
+ * largest of an instance's own three windows instead of the mean would break
+ * the limit, as each instance could take a different one.
  *
- * The credit is there as sends come whole: without it a service with few requests
- * an instance would never be sent to again. A lifetime that begins in W has one
- * that was drawn evenly from 0 to 1, its rounding, so that the sends of many
- * lifetimes are as many as they paid for on the mean, however many there are; of
- * k the sum is over by d with a chance of at most exp(-2 d^2 / k) (Hoeffding),
- * for 30 and 160 lifetimes 1e-5. One that was there when W began has besides an
- * equal part of half of the slack, but never more than 1 in all. So a wrong count
- * of instances, in a cut, can't give more than one send to each that lives.
+ * The credit is needed because sends are whole: without it a service with few
+ * requests per instance would never get an extra send. A lifetime that begins
+ * within W has a credit drawn uniformly from 0 to 1 (its rounding), so that on
+ * average the sends of many lifetimes equal what their requests pay for. The
+ * sum of k such credits exceeds its mean by d with a probability of at most
+ * exp(-2 d^2 / k) (Hoeffding): 1e-5 for d = 30 and k = 160. A lifetime that
+ * existed when W began also has an equal part of half of the slack, but its
+ * credit is never more than 1 in all. So an instance count that is wrong during
+ * a partition adds at most one send per live instance.
  *
- * The rest of the slack is room for that, and for what the sum can't see: a
- * request counts here when it was read, not when its caller sent it.
+ * The rest of the slack covers those credits and what the sum doesn't include:
+ * a request is counted here when it was read, not when its caller sent it.
  */
 #ifndef MP_CORE_BUDGET_H
 #define MP_CORE_BUDGET_H
@@ -39,14 +41,14 @@
 
 enum {
 	/*
-	 * Time is cut into cells. A cell that lies partly in a window counts in
-	 * full for sends and not at all for requests: with 100 a window that
-	 * costs 2 in 100 of what may be sent.
+	 * Sends and requests are counted per interval. An interval that lies
+	 * partly in a window counts in full for sends and not at all for
+	 * requests; with 100 per window that costs 2% of the budget.
 	 */
 	BUDGET_INTERVALS_PER_WINDOW = 100,
 	/*
-	 * Windows begin up to one before now, and look one further back; a
-	 * power of two, so that a cell is found by a mask.
+	 * Size of the ring of intervals: windows begin up to one window ago and
+	 * look one further back. A power of two, so that the index is a mask.
 	 */
 	BUDGET_INTERVALS = 256,
 };
@@ -54,60 +56,60 @@
 struct budget_params {
 	double ratio;
 	double slack;	    /* sends, of all instances together */
-	uint32_t window_ms; /* the window that the rule looks at */
-	unsigned instances; /* the most that this lifetime knew of at once */
+	uint32_t window_ms; /* length of the limit's window */
+	unsigned instances; /* most known at once in this lifetime */
 };
 
-/* Times are by a clock that goes on while the machine is suspended. */
+/* Times are of a clock that also runs while the machine is suspended. */
 struct retry_budget {
 	uint32_t requests[BUDGET_INTERVALS];
-	uint32_t ended[BUDGET_INTERVALS]; /* extra sends, by when they ended */
-	uint32_t window_ms;		  /* that the cells divide */
-	int64_t newest;			  /* number of the newest cell */
+	uint32_t ended[BUDGET_INTERVALS]; /* extra sends, by their end */
+	uint32_t window_ms;		  /* divided by the intervals */
+	int64_t newest;			  /* number of the newest interval */
 	uint32_t in_flight;		  /* extra sends that have not ended */
-	int64_t first_interval;		  /* the cell of its first request */
-	double rounding;		  /* 0 to 1, of this lifetime */
+	int64_t first_interval;		  /* of its first request */
+	double rounding;		  /* credit, 0 to 1 */
 };
 
-/* Why a request goes to one more server. */
+/* Why a request is sent to one more server. */
 enum extra_cause {
-	EXTRA_RETRY,  /* the send before brought no answer */
-	EXTRA_HEDGE,  /* beside it, so that an answer can be on time */
-	EXTRA_RESCUE, /* beside it, as no answer may ever come */
+	EXTRA_RETRY,  /* the previous send failed */
+	EXTRA_HEDGE,  /* concurrent, so that the answer can be on time */
+	EXTRA_RESCUE, /* concurrent, as the first may never be answered */
 	EXTRA_CAUSES,
 };
 
 /*
- * What one lifetime of an instance did at a service, for logs and metrics. The
- * sums over all lifetimes are what the system's rule looks at.
+ * Counts of one process lifetime for one service, for logs and metrics. The
+ * system's limit applies to the sums over all lifetimes.
  */
 struct budget_stats {
 	uint64_t requests;
-	uint64_t spent[EXTRA_CAUSES];  /* sends beyond a request's first */
-	uint64_t denied[EXTRA_CAUSES]; /* wanted, but the budget was used up */
+	uint64_t spent[EXTRA_CAUSES];  /* extra sends */
+	uint64_t denied[EXTRA_CAUSES]; /* refused, as the budget was used up */
 };
 
-/* What the newest window holds, as this instance counts it. */
+/* Counts of this instance in the newest window. */
 struct budget_window {
 	unsigned requests, spent;
-	double left; /* more extra sends that keep to the rule now */
+	double left; /* extra sends that are still allowed */
 };
 
 void budget_init(struct retry_budget *b, double rounding);
-void budget_add_request(struct retry_budget *b, const struct budget_params *r,
+void budget_add_request(struct retry_budget *b, const struct budget_params *p,
 			int64_t now_ms);
-bool budget_allows(const struct retry_budget *b, const struct budget_params *r,
+bool budget_allows(const struct retry_budget *b, const struct budget_params *p,
 		   int64_t now_ms);
-double budget_left(const struct retry_budget *b, const struct budget_params *r,
+double budget_left(const struct retry_budget *b, const struct budget_params *p,
 		   int64_t now_ms);
 void budget_spend(struct retry_budget *b);
-void budget_send_done(struct retry_budget *b, const struct budget_params *r,
+void budget_send_done(struct retry_budget *b, const struct budget_params *p,
 		      int64_t now_ms);
 void budget_refund(struct retry_budget *b);
 struct budget_window budget_window(const struct retry_budget *b,
-				   const struct budget_params *r,
+				   const struct budget_params *p,
 				   int64_t now_ms);
-uint64_t budget_spent(const struct budget_stats *a);
+uint64_t budget_spent(const struct budget_stats *s);
 const char *extra_cause_name(enum extra_cause cause);
 
 #endif
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -1,22 +1,20 @@
 /*
- * Tests of core/budget: whatever becomes of the instances, all of them
- * together never go over the system's rule in any sliding window, and the
- * allowance is used.
+ * Tests of core/budget: whatever happens to the instances, all of them together
+ * never exceed the system's limit in any sliding window, and the budget is
+ * used.
  *
- * The story of the tests from test_restarts on. Users saw 495 sends beyond the
- * first of their request in 10 s, for 2,063 requests, where the rule allows 473.
- * Servers of the service turned requests away, so every instance spent what it
- * had. Each kept its account in its own memory, by its own window, with an equal
- * part of the rule's slack for itself. An instance that was restarted had its
- * part once more, while what the process before had spent was forgotten; one
- * that was cut off from the others divided the slack by fewer; and when callers
- * moved, the instance that they left had spent what they earned before the
- * window, and the one that they came to spent what they earned in it.
- * Evidence, from runs of 16 instances with all servers refusing: planned restarts
- * of one instance each 0.8 s, 471 sends in the worst window by 27 lifetimes, 13
- * of them begun in it, each with the right count of instances, and 449 allowed;
- * five instances cut off, 447 sends by 16 lifetimes, none begun in it, that
- * divided by 5 to 16, one over. With neither the worst was 38 under the limit.
+ * The tests from test_restarts on guard against 495 extra sends in 10 s, for
+ * 2,063 requests, where the limit was 473. All servers of the service refused
+ * requests, so every instance spent its whole budget, and
+ * - a restarted instance had its part of the slack again, while what the
+ *   previous process had spent was forgotten (restart of one instance every
+ *   0.8 s: 471 sends by 27 lifetimes, 13 of them begun in the window, where 449
+ *   were allowed);
+ * - an instance cut off from the others divided the slack by too few (five of 16
+ *   cut off: 447 sends by lifetimes that divided by 5 to 16, one over the limit);
+ * - when callers moved, the old instance had spent what they had earned before
+ *   the window, and the new one what they earned in it.
+ * Without restarts and partitions the worst window was 38 below the limit.
  */
 #include "tests/unit.h"
 
@@ -25,35 +23,36 @@
 #include "core/budget.h"
 #include "tests/budget_system.h"
 
-enum { INSTANCES = 13, DAY_MS = 60000 };
+enum { INSTANCES = 13, RUN_MS = 60000 };
 
-struct day {
-	uint32_t requests[DAY_MS / STEP_MS], extra[DAY_MS / STEP_MS];
+struct run {
+	uint32_t requests[RUN_MS / STEP_MS], extra[RUN_MS / STEP_MS];
 };
 
-/* Plays a day on which every request wants three more sends. */
-static void play(guint32 seed, struct day *d, const struct budget_params *rule)
+/* Simulates a run in which every request wants three extra sends. */
+static void simulate(guint32 seed, struct run *d,
+		     const struct budget_params *params)
 {
 	struct retry_budget b[INSTANCES];
 	GRand *rand = g_rand_new_with_seed(seed);
 
 	for (int k = 0; k < INSTANCES; k++)
 		budget_init(&b[k], g_rand_double(rand));
-	for (int i = 0; i < DAY_MS / STEP_MS; i++) {
+	for (int i = 0; i < RUN_MS / STEP_MS; i++) {
 		int64_t now = 1000000 + (int64_t)i * STEP_MS;
-		/* Bursts and pauses of some seconds. */
+		/* Bursts and pauses of a few seconds. */
 		double rate = (i / 300) % 3 == 2 ? 0.02 : 0.4;
 
 		for (int k = 0; k < INSTANCES; k++) {
 			if (g_rand_double(rand) > rate)
 				continue;
-			budget_add_request(&b[k], rule, now);
+			budget_add_request(&b[k], params, now);
 			d->requests[i]++;
 			for (int n = 0; n < 3; n++) {
-				if (!budget_allows(&b[k], rule, now))
+				if (!budget_allows(&b[k], params, now))
 					break;
 				budget_spend(&b[k]);
-				budget_send_done(&b[k], rule, now);
+				budget_send_done(&b[k], params, now);
 				d->extra[i]++;
 			}
 		}
@@ -61,45 +60,46 @@
 	g_rand_free(rand);
 }
 
-static void test_never_over(void **state)
+/* Random load never exceeds the limit and uses at least half of the ratio. */
+static void test_limit_holds(void **state)
 {
-	struct budget_params rule = {.ratio = 0.2,
-				     .slack = 56,
-				     .window_ms = WINDOW_MS,
-				     .instances = INSTANCES};
-	int w = WINDOW_MS / STEP_MS;
+	struct budget_params params = {.ratio = 0.2,
+				       .slack = 56,
+				       .window_ms = WINDOW_MS,
+				       .instances = INSTANCES};
+	int len = WINDOW_MS / STEP_MS;
 
 	for (guint32 seed = 1; seed <= 20; seed++) {
-		struct day *d = g_new0(struct day, 1);
+		struct run *d = g_new0(struct run, 1);
 		uint64_t used = 0, requests = 0;
 
-		play(seed, d, &rule);
-		for (int i = w; i < DAY_MS / STEP_MS; i++) {
-			/* The rule takes the better of these windows. */
-			uint64_t req =
-				MAX(sum(d->requests, i - w, w),
-				    MAX(sum(d->requests, i - 2 * w, w),
-					sum(d->requests, i - w - w / 2, w)));
+		simulate(seed, d, &params);
+		for (int i = len; i < RUN_MS / STEP_MS; i++) {
+			/* The limit uses the largest of these windows. */
+			uint64_t req = MAX(
+				sum(d->requests, i - len, len),
+				MAX(sum(d->requests, i - 2 * len, len),
+				    sum(d->requests, i - len - len / 2, len)));
 
-			assert_true((double)sum(d->extra, i - w, w) <=
+			assert_true((double)sum(d->extra, i - len, len) <=
 				    0.2 * (double)req + 56);
 		}
-		used = sum(d->extra, 0, DAY_MS / STEP_MS);
-		requests = sum(d->requests, 0, DAY_MS / STEP_MS);
-		/* At least half of what the ratio alone gives is usable. */
+		used = sum(d->extra, 0, RUN_MS / STEP_MS);
+		requests = sum(d->requests, 0, RUN_MS / STEP_MS);
+		/* At least half of what the ratio alone allows is used. */
 		assert_true((double)used > 0.1 * (double)requests);
 		g_free(d);
 	}
 }
 
-/* 200 requests a second, as in the users' window; every server refuses. */
+/* 200 requests per second, as in the reported window; all servers refuse. */
 enum { MORE = 3, SEEDS = 10 };
 static const double BUSY = 200.0 * STEP_MS / 1000;
 
 /*
- * Planned restarts of all instances in turn, one each 0.8 s. Callers leave an
- * instance 3 s before its process ends, for the others. Servers begin to refuse
- * 4 s after the first restart, so that all have a whole window's allowance.
+ * Rolling restart of all instances, one every 0.8 s. Callers move from an
+ * instance to the others 3 s before its process ends. Servers start to refuse
+ * 4 s after the first restart, so that all instances have a full budget.
  */
 static void test_restarts(void **state)
 {
@@ -111,287 +111,294 @@
 	};
 
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
-		struct world *w = world_new(seed, BUSY);
+		struct system *sys = system_new(seed, BUSY);
 
 		for (int t = 0; t < STEPS; t++) {
 			int used = 0;
 
-			for (int i = 0; i < SYSTEM; i++) {
+			for (int i = 0; i < SMALL; i++) {
 				int end = BEGIN + i * EACH;
 				bool out = t >= end - LEFT && t < end;
 
-				w->instances[i].share = out ? 0 : 1;
+				sys->instances[i].share = out ? 0 : 1;
 				used += !out;
 				if (t == end)
-					begin_lifetime(w, i);
+					restart(sys, i);
 			}
-			for (int i = 0; i < SYSTEM; i++)
-				w->instances[i].share /= used;
-			world_step(w, t, t < REFUSE ? 0 : MORE);
+			for (int i = 0; i < SMALL; i++)
+				sys->instances[i].share /= used;
+			system_step(sys, t, t < REFUSE ? 0 : MORE);
 		}
-		check_rule(w, "restarts", seed);
-		world_free(w);
+		check_limit(sys, "restarts", seed);
+		system_free(sys);
 	}
 }
 
-/* Some, or all, are killed at random moments, time and again. */
+/* Some or all instances are killed at random times, again and again. */
 static void test_kills(void **state)
 {
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
-		struct world *w = world_new(seed, BUSY);
+		struct system *sys = system_new(seed, BUSY);
 
 		for (int t = 0; t < STEPS; t++) {
-			bool now = g_rand_int_range(w->rand, 0, 250) == 0;
-			double share = g_rand_double(w->rand);
+			bool now = g_rand_int_range(sys->rand, 0, 250) == 0;
+			double share = g_rand_double(sys->rand);
 
-			for (int i = 0; now && i < SYSTEM; i++) {
-				if (g_rand_double(w->rand) < share)
-					begin_lifetime(w, i);
+			for (int i = 0; now && i < SMALL; i++) {
+				if (g_rand_double(sys->rand) < share)
+					restart(sys, i);
 			}
-			world_step(w, t, MORE);
+			system_step(sys, t, MORE);
 		}
-		check_rule(w, "kills", seed);
-		world_free(w);
+		check_limit(sys, "kills", seed);
+		system_free(sys);
 	}
 }
 
-/* Five are cut off from the others: each part takes itself for all there are. */
+/*
+ * Network partition: each of five instances knows only itself, the others know
+ * only each other.
+ */
 static void test_cut_off(void **state)
 {
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
-		struct world *w = world_new(seed, BUSY);
+		struct system *sys = system_new(seed, BUSY);
 
 		for (int t = 0; t < STEPS; t++) {
-			for (int i = 0; t == STEPS / 4 && i < SYSTEM; i++)
-				w->instances[i].rule.instances =
-					i < 5 ? 1 : SYSTEM - 5;
-			world_step(w, t, MORE);
+			for (int i = 0; t == STEPS / 4 && i < SMALL; i++)
+				sys->instances[i].params.instances =
+					i < 5 ? 1 : SMALL - 5;
+			system_step(sys, t, MORE);
 		}
-		check_rule(w, "cut off", seed);
-		world_free(w);
+		check_limit(sys, "cut off", seed);
+		system_free(sys);
 	}
 }
 
-/* The same, and all start anew while it lasts: nobody ever knew of the others. */
-static void test_cut_off_anew(void **state)
+/* All instances restart during a partition, and none ever knows another. */
+static void test_restart_while_cut_off(void **state)
 {
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
-		struct world *w = world_new(seed, BUSY);
+		struct system *sys = system_new(seed, BUSY);
 
 		for (int t = 0; t < STEPS; t++) {
-			for (int i = 0; t == STEPS / 4 && i < SYSTEM; i++) {
-				w->instances[i].rule.instances = 1;
-				begin_lifetime(w, i);
+			for (int i = 0; t == STEPS / 4 && i < SMALL; i++) {
+				sys->instances[i].params.instances = 1;
+				restart(sys, i);
 			}
-			world_step(w, t, MORE);
+			system_step(sys, t, MORE);
 		}
-		check_rule(w, "cut off anew", seed);
-		world_free(w);
+		check_limit(sys, "restart while cut off", seed);
+		system_free(sys);
 	}
 }
 
-/* Callers move at random moments to some instances, more or less of them. */
+/* At random times callers move to some instances, and their number changes. */
 static void test_moving_demand(void **state)
 {
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
-		struct world *w = world_new(seed, BUSY);
+		struct system *sys = system_new(seed, BUSY);
 
 		for (int t = 0; t < STEPS; t++) {
-			bool now = g_rand_int_range(w->rand, 0, 400) == 0;
-			int few = g_rand_int_range(w->rand, 1, SYSTEM + 1);
-			int first = g_rand_int_range(w->rand, 0, SYSTEM);
+			bool now = g_rand_int_range(sys->rand, 0, 400) == 0;
+			int few = g_rand_int_range(sys->rand, 1, SMALL + 1);
+			int first = g_rand_int_range(sys->rand, 0, SMALL);
 
 			if (now)
-				w->demand = BUSY * g_rand_double(w->rand) * 3;
-			for (int i = 0; now && i < SYSTEM; i++) {
-				bool used = (i + SYSTEM - first) % SYSTEM < few;
+				sys->demand =
+					BUSY * g_rand_double(sys->rand) * 3;
+			for (int i = 0; now && i < SMALL; i++) {
+				bool used = (i + SMALL - first) % SMALL < few;
 
-				w->instances[i].share = used ? 1.0 / few : 0;
+				sys->instances[i].share = used ? 1.0 / few : 0;
 			}
-			world_step(w, t, MORE);
+			system_step(sys, t, MORE);
 		}
-		check_rule(w, "moving demand", seed);
-		world_free(w);
+		check_limit(sys, "moving demand", seed);
+		system_free(sys);
 	}
 }
 
 /*
- * Servers begin to refuse, and right afterwards all callers move to the other
- * half of the instances: the first half has spent what its requests of before
- * the window earned, the second what those in the window earn.
+ * Servers start to refuse, and right afterwards all callers move to the other
+ * half of the instances: the first half has spent what its requests earned
+ * before the window, the second spends what its requests earn in the window.
  */
 static void test_callers_move(void **state)
 {
 	enum { REFUSE = 3000, MOVE = REFUSE + 1000 / STEP_MS };
 
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
-		struct world *w = world_new(seed, BUSY);
+		struct system *sys = system_new(seed, BUSY);
 
 		for (int t = 0; t < STEPS; t++) {
-			for (int i = 0; i < SYSTEM; i++) {
-				bool used = (i < SYSTEM / 2) == (t < MOVE);
+			for (int i = 0; i < SMALL; i++) {
+				bool used = (i < SMALL / 2) == (t < MOVE);
 
-				w->instances[i].share = used ? 2.0 / SYSTEM : 0;
+				sys->instances[i].share =
+					used ? 2.0 / SMALL : 0;
 			}
-			world_step(w, t, t < REFUSE ? 0 : MORE);
+			system_step(sys, t, t < REFUSE ? 0 : MORE);
 		}
-		check_rule(w, "callers move", seed);
-		world_free(w);
+		check_limit(sys, "callers move", seed);
+		system_free(sys);
 	}
 }
 
 /*
- * Two short crowds 10.6 s apart. The first is sent again only 2 s later, as
- * when no answer comes; its requests then still paid for the second's repeats,
- * though a window that holds the repeats of both holds one crowd's requests.
+ * Two bursts 10.6 s apart. The first is retried only 2 s later, as after a
+ * timeout. Guards against its requests paying for the second burst's retries:
+ * a window with the retries of both bursts has the requests of one only.
  */
-static void test_two_crowds(void **state)
+static void test_two_bursts(void **state)
 {
-	enum { FIRST = 1000, CROWD = 1000 };
+	enum { FIRST = 1000, BURST = 1000 };
 	int late = FIRST + 2000 / STEP_MS, second = FIRST + 10600 / STEP_MS;
-	struct world *w = world_new(1, 0);
-
-	for (int n = 0; n < CROWD; n++)
-		request(w, n % SYSTEM, FIRST, 0);
-	for (int i = 0; i < SYSTEM; i++)
-		want(w, i, late, CROWD);
-	for (int n = 0; n < CROWD; n++)
-		request(w, n % SYSTEM, second, 0);
-	for (int i = 0; i < SYSTEM; i++)
-		want(w, i, second, CROWD);
-	check_rule(w, "two crowds", 1);
-	world_free(w);
+	struct system *sys = system_new(1, 0);
+
+	for (int n = 0; n < BURST; n++)
+		request(sys, n % SMALL, FIRST, 0);
+	for (int i = 0; i < SMALL; i++)
+		extra_sends(sys, i, late, BURST);
+	for (int n = 0; n < BURST; n++)
+		request(sys, n % SMALL, second, 0);
+	for (int i = 0; i < SMALL; i++)
+		extra_sends(sys, i, second, BURST);
+	check_limit(sys, "two bursts", 1);
+	system_free(sys);
 }
 
 /*
- * More instances than the slack has sends, few requests each, and some killed all
- * the time: what each is given beside its requests' ratio adds up to half of the
- * slack at most.
+ * More instances than the slack has sends, with few requests each, and constant
+ * kills: their credits add up to at most half of the slack.
  */
 static void test_large_system(void **state)
 {
 	for (guint32 seed = 1; seed <= 3; seed++) {
-		struct world *w = world_of(LARGE, seed, BUSY / 4);
+		struct system *sys = system_with(LARGE, seed, BUSY / 4);
 
 		for (int t = 0; t < STEPS; t++) {
 			if (t % 10 == 0)
-				begin_lifetime(
-					w, g_rand_int_range(w->rand, 0, LARGE));
-			world_step(w, t, MORE);
+				restart(sys,
+					g_rand_int_range(sys->rand, 0, LARGE));
+			system_step(sys, t, MORE);
 		}
-		check_rule(w, "large system", seed);
-		world_free(w);
+		check_limit(sys, "large system", seed);
+		system_free(sys);
 	}
 }
 
 /*
- * A lifetime that has got no request owns nothing, however long it lasts. What
- * one request pays is there for a window and a half, in parts.
+ * A lifetime without requests has no budget, however long it lasts. What one
+ * request pays can be spent for a window and a half, in decreasing parts.
  */
-static void test_nothing_for_nothing(void **state)
+static void test_no_requests_no_budget(void **state)
 {
-	struct budget_params rule = {.ratio = 3, .window_ms = WINDOW_MS};
+	struct budget_params params = {.ratio = 3, .window_ms = WINDOW_MS};
 	struct retry_budget b;
 	int64_t t0 = 5000000;
 
 	budget_init(&b, 0.99);
-	assert_false(budget_allows(&b, &rule, t0));
-	assert_false(budget_allows(&b, &rule, t0 + 10 * WINDOW_MS));
-	budget_add_request(&b, &rule, t0);
-	assert_true(budget_allows(&b, &rule, t0));
+	assert_false(budget_allows(&b, &params, t0));
+	assert_false(budget_allows(&b, &params, t0 + 10 * WINDOW_MS));
+	budget_add_request(&b, &params, t0);
+	assert_true(budget_allows(&b, &params, t0));
 	budget_spend(&b);
-	assert_false(budget_allows(&b, &rule, t0));
-	budget_send_done(&b, &rule, t0 + 1000);
-	assert_false(budget_allows(&b, &rule, t0 + 1000));
-	/* The third that the window before pays is used up with the others. */
-	assert_false(budget_allows(&b, &rule, t0 + WINDOW_MS + 500));
-	assert_false(budget_allows(&b, &rule, t0 + 10 * WINDOW_MS));
+	assert_false(budget_allows(&b, &params, t0));
+	budget_send_done(&b, &params, t0 + 1000);
+	assert_false(budget_allows(&b, &params, t0 + 1000));
+	/* The part paid by the previous window is spent as well. */
+	assert_false(budget_allows(&b, &params, t0 + WINDOW_MS + 500));
+	assert_false(budget_allows(&b, &params, t0 + 10 * WINDOW_MS));
 }
 
-/* One that is out counts until it ends: its server may get it any moment. */
-static void test_out_counts(void **state)
+/* A send in flight counts until it ends: it may reach its server at any time. */
+static void test_in_flight_counts(void **state)
 {
-	struct budget_params rule = {.ratio = 3, .window_ms = WINDOW_MS};
+	struct budget_params params = {.ratio = 3, .window_ms = WINDOW_MS};
 	struct retry_budget b;
 	int64_t t0 = 5000000;
 
 	budget_init(&b, 0);
-	budget_add_request(&b, &rule, t0);
+	budget_add_request(&b, &params, t0);
 	budget_spend(&b);
 	for (int64_t t = t0; t < t0 + 3 * WINDOW_MS; t += 1000) {
-		budget_add_request(&b, &rule, t);
-		assert_true(budget_left(&b, &rule, t) >= 0);
+		budget_add_request(&b, &params, t);
+		assert_true(budget_left(&b, &params, t) >= 0);
 	}
 	budget_spend(&b);
-	/* None was ended: both count now, as if just sent. */
-	assert_int_equal(budget_window(&b, &rule, t0 + 3 * WINDOW_MS).spent, 2);
+	/* None has ended: both count as if just sent. */
+	assert_int_equal(budget_window(&b, &params, t0 + 3 * WINDOW_MS).spent,
+			 2);
 	budget_refund(&b);
-	budget_send_done(&b, &rule, t0 + 3 * WINDOW_MS);
-	assert_int_equal(budget_window(&b, &rule, t0 + 3 * WINDOW_MS).spent, 1);
+	budget_send_done(&b, &params, t0 + 3 * WINDOW_MS);
+	assert_int_equal(budget_window(&b, &params, t0 + 3 * WINDOW_MS).spent,
+			 1);
 }
 
-/* Another window in the settings: the account begins anew, what is out stays. */
+/* A changed window length resets all counts but that of sends in flight. */
 static void test_window_changes(void **state)
 {
-	struct budget_params rule = {.ratio = 30, .window_ms = WINDOW_MS};
+	struct budget_params params = {.ratio = 30, .window_ms = WINDOW_MS};
 	struct retry_budget b;
 	int64_t t = 5000000;
 
 	budget_init(&b, 0);
-	budget_add_request(&b, &rule, t);
+	budget_add_request(&b, &params, t);
 	budget_spend(&b);
 	for (uint32_t ms = 4 * WINDOW_MS; ms > 0; ms /= 8) {
-		rule.window_ms = ms;
-		budget_add_request(&b, &rule, t);
-		assert_int_equal(budget_window(&b, &rule, t).requests, 1);
-		assert_int_equal(budget_window(&b, &rule, t).spent, 1);
+		params.window_ms = ms;
+		budget_add_request(&b, &params, t);
+		assert_int_equal(budget_window(&b, &params, t).requests, 1);
+		assert_int_equal(budget_window(&b, &params, t).spent, 1);
 		t += 10 * WINDOW_MS;
 	}
-	rule.window_ms = 0;
-	budget_add_request(&b, &rule, t);
-	assert_int_equal(budget_window(&b, &rule, t).spent, 1);
-	budget_send_done(&b, &rule, t);
+	params.window_ms = 0;
+	budget_add_request(&b, &params, t);
+	assert_int_equal(budget_window(&b, &params, t).spent, 1);
+	budget_send_done(&b, &params, t);
 }
 
-/* Of the repeats wanted on calm days, the share that is allowed. */
-static double calm_share(double per_s, guint32 seed)
+/* Returns the fraction of wanted retries that is allowed under light load. */
+static double allowed_fraction(double per_s, guint32 seed)
 {
-	struct world *w = world_new(seed, per_s * STEP_MS / 1000);
+	struct system *sys = system_new(seed, per_s * STEP_MS / 1000);
 	uint64_t wanted = 0, sent;
 	double share;
 
 	for (int t = 0; t < STEPS; t++) {
-		for (int i = 0; i < SYSTEM; i++) {
-			int more = g_rand_int_range(w->rand, 0, 20) == 0;
+		for (int i = 0; i < SMALL; i++) {
+			int more = g_rand_int_range(sys->rand, 0, 20) == 0;
 
-			if (g_rand_double(w->rand) >= w->demand / SYSTEM)
+			if (g_rand_double(sys->rand) >= sys->demand / SMALL)
 				continue;
-			request(w, i, t, more);
+			request(sys, i, t, more);
 			wanted += (uint64_t)more;
 		}
 	}
-	check_rule(w, "calm", seed);
-	sent = sum(w->extra, 0, STEPS);
+	check_limit(sys, "light load", seed);
+	sent = sum(sys->extra, 0, STEPS);
 	share = wanted ? (double)sent / (double)wanted : 1;
-	world_free(w);
+	system_free(sys);
 	return share;
 }
 
 /*
- * Calm days: one request in 20 wants a repeat, a quarter of what the ratio pays.
- * Once there for a window an instance has one repeat a window in any case, and
- * the ratio pays one at once for each request a second. With 0.3 requests a
- * second there the wish for another falls into the same window in 14 of 100
- * cases, and a tenth of the day is the first window, where half are allowed.
+ * Light load: one request in 20 wants a retry, a quarter of what the ratio pays
+ * for. After its first window an instance always has one retry per window, and
+ * the ratio pays for one more at once per request and second. At 0.3 requests
+ * per second and instance a second retry falls into the same window in 14 of
+ * 100 cases, and the first window, in which half are allowed, is a tenth of the
+ * run.
  */
-static void test_calm(void **state)
+static void test_light_load(void **state)
 {
 	double few = 0, some = 0, many = 0;
 
 	for (guint32 seed = 1; seed <= SEEDS; seed++) {
-		few += calm_share(0.3 * SYSTEM, seed) / SEEDS;
-		some += calm_share(1.0 * SYSTEM, seed) / SEEDS;
-		many += calm_share(2.0 * SYSTEM, seed) / SEEDS;
+		few += allowed_fraction(0.3 * SMALL, seed) / SEEDS;
+		some += allowed_fraction(1.0 * SMALL, seed) / SEEDS;
+		many += allowed_fraction(2.0 * SMALL, seed) / SEEDS;
 	}
 	print_message("allowed: %.2f %.2f %.2f\n", few, some, many);
 	assert_true(few > 0.5);
@@ -402,19 +409,19 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_never_over),
+		cmocka_unit_test(test_limit_holds),
 		cmocka_unit_test(test_restarts),
 		cmocka_unit_test(test_kills),
 		cmocka_unit_test(test_cut_off),
-		cmocka_unit_test(test_cut_off_anew),
+		cmocka_unit_test(test_restart_while_cut_off),
 		cmocka_unit_test(test_moving_demand),
 		cmocka_unit_test(test_callers_move),
-		cmocka_unit_test(test_two_crowds),
+		cmocka_unit_test(test_two_bursts),
 		cmocka_unit_test(test_large_system),
-		cmocka_unit_test(test_nothing_for_nothing),
-		cmocka_unit_test(test_out_counts),
+		cmocka_unit_test(test_no_requests_no_budget),
+		cmocka_unit_test(test_in_flight_counts),
 		cmocka_unit_test(test_window_changes),
-		cmocka_unit_test(test_calm),
+		cmocka_unit_test(test_light_load),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
