--- a/core/limit_share.h
+++ b/core/limit_share.h
@@ -1,34 +1,36 @@
 /*
- * What one instance may send to a backend server that names a limit. All instances
- * together keep to the users' rule: in any 4 s the server gets at most 1.5 times what
- * its limit of L requests a second allows, and 5 more,
+ * This instance's share of a backend server's limit. All instances together keep
+ * to the rule that in any 4 s the server gets at most 1.5 times what its limit
+ * of L requests per second allows, plus 5:
  *     6 L + 5.
- * No instance counts what the others send, and none asks another.
+ * Instances neither count each other's sends nor coordinate them.
  *
- * Few hold a limit: K of the instances, the first in an order that each server has
- * of its own (rendezvous hashing), so that all agree on them who know the same
- * instances, and different servers are held by different ones. Each has a bucket
- * that earns L / K a second, and saves a part of the rule's slack:
+ * The limit is divided among K instances, its holders. They are the first in an
+ * order specific to the server (rendezvous hashing): all instances that know the
+ * same instances agree on them, and different servers have different ones. Each
+ * holder has a token bucket that refills at L / K per second, and whose depth is
+ * a part of the rule's slack:
  *     S = floor(1.5 L + 3),  K = min(instances, S, 4 L),  depth = S / K
- * A depth of one request is the least with which anything is ever sent. In 4 s all
- * send what was saved and what they earned, S + 4 L <= 5.5 L + 3. With a bucket at
- * every instance they would be over by any number beyond the slack. What is left of
- * the rule, 0.5 L + 2, is for sends that are held up on the way, for instances that
- * disagree for a moment about who holds (one that comes to hold a limit, or begins
- * to live, owns nothing yet), and for the rare send of one that holds nothing, by
- * which the end of a limit is heard, see server_limit_is_stale().
+ * With a depth of less than one request nothing would ever be sent. In 4 s all
+ * holders together send at most what was saved and refilled, S + 4 L <= 5.5 L +
+ * 3. A bucket at every instance would exceed the rule by any number of sends
+ * beyond the slack. The remainder of the rule, 0.5 L + 2, covers sends that are
+ * delayed on the way, instances that disagree for a moment about the holders (a
+ * new holder or a new process starts with no tokens), and the rare send of an
+ * instance without a quota that checks whether the limit has ended, see
+ * server_limit_is_stale().
  *
- * K is no more than 4 L so that each holder earns one request in 4 s: at a low
- * limit that is how soon anybody hears that it has ended.
+ * K is at most 4 L, so that each holder gets one token in 4 s: at a low limit
+ * that is how soon an instance learns that it has ended.
  *
- * Which instances there are is peers_sharers()'s matter: one that counts some too
- * many holds less, so mistakes that way are safe. One that has merely fallen silent
- * keeps its part, as it may be cut off and serve on; what it doesn't use is lost.
+ * peers_sharers() tells which instances there are. An instance that counts too
+ * many of them takes less, which is safe. One that is silent keeps its share, as
+ * it may be cut off and still serve; what it doesn't use is lost.
  *
- * A send may reach the server at any moment until it has ended, when a link was
- * held up. So each holder besides keeps to its whole part of the rule, (6 L + 5) / K,
- * in the window that ends now, in which a send counts until it has ended and for a
- * window after.
+ * A send may reach the server at any time until it has ended, if a link is slow.
+ * So each holder also keeps to its part of the rule, (6 L + 5) / K, in the window
+ * that ends now, in which a send counts until it has ended and for one window
+ * after that.
  */
 #ifndef MP_CORE_LIMIT_SHARE_H
 #define MP_CORE_LIMIT_SHARE_H
@@ -37,44 +39,44 @@
 #include <stdint.h>
 
 enum {
-	LIMIT_WINDOW_MS = 4000, /* the rule's */
-	LIMIT_INTERVALS = 128,	/* in which ended sends are counted */
+	LIMIT_WINDOW_MS = 4000, /* of the rule */
+	LIMIT_INTERVALS = 128,	/* ring of counts of ended sends */
 };
 
-/* What an instance holds of a limit. */
+/* Part of a limit that an instance may use. */
 struct limit_quota {
 	bool held;
-	double rate_s;		/* requests a second that it earns */
-	double depth;		/* requests that it may save */
-	unsigned max_in_window; /* in a window, those on their way included */
+	double rate_s;		/* refill, requests per second */
+	double depth;		/* depth of the bucket */
+	unsigned max_in_window; /* sends, those in flight included */
 };
 
 struct limit_share {
 	struct limit_quota quota;
 	double tokens;
-	int64_t updated_ms; /* tokens are right as of then */
+	int64_t updated_ms; /* time up to which tokens were added */
 	unsigned in_flight; /* sends that have not ended */
 	uint16_t ended[LIMIT_INTERVALS];
-	int64_t newest; /* number of the newest */
+	int64_t newest; /* number of the newest interval */
 };
 
-/* An instance that may be sending to servers. */
+/* An instance that may send to servers. */
 struct limit_instance {
 	uint32_t id;	    /* peer_id() */
-	uint32_t reachable; /* 1: it is heard of; 0: it has fallen silent */
+	uint32_t reachable; /* 0: silent; 1: heard from lately */
 };
 
-/* All of them, as one knows them; itself first. */
+/* All instances that this one knows; itself first. */
 struct limit_instances {
 	const struct limit_instance *list;
-	unsigned n; /* 0: not known yet; nothing is held */
+	unsigned n; /* 0: not known yet, no quota */
 };
 
 struct limit_quota limit_quota(double per_s, uint32_t server,
 			       const struct limit_instances *s);
-void limit_share_init(struct limit_share *s, bool saved, int64_t now_ms);
+void limit_share_init(struct limit_share *s, bool full, int64_t now_ms);
 void limit_share_set_quota(struct limit_share *s,
-			   const struct limit_quota *part, int64_t now_ms);
+			   const struct limit_quota *quota, int64_t now_ms);
 bool limit_share_allows(struct limit_share *s, int64_t now_ms);
 int64_t limit_share_next_ms(struct limit_share *s, int64_t now_ms);
 void limit_share_take(struct limit_share *s, int64_t now_ms);
--- a/core/limit_want.c
+++ b/core/limit_want.c
@@ -1,59 +1,61 @@
 #include "core/limit_want.h"
 
 enum {
-	/* A question's answers are there by then, or won't come. */
-	ANSWER_MS = 20,
-	/* So many in vain are chance; then the pause doubles with each. */
-	VAIN_MAX = 3,
-	PAUSE_MAX_MS = 2000,
-	/* A grant counts if its question is no older, and then for so long. */
-	ASKED_MAX_MS = 200,
-	GRANT_MS = 200,
+	/* Grants arrive within this time or not at all. */
+	GRANT_WAIT_MS = 20,
+	/* Failures that happen by chance; each further one doubles the delay. */
+	FREE_FAILURES = 3,
+	BACKOFF_MAX_MS = 2000,
+	/* Oldest request that may still be granted. */
+	REQUEST_AGE_MAX_MS = 200,
+	GRANT_VALID_MS = 200, /* from its arrival */
 };
 
-/* limit_borrow_is_due() tells whether the others may be asked now. */
-bool limit_borrow_is_due(const struct limit_borrow *w, int64_t now_ms)
+/* Returns whether peers may be asked now. */
+bool limit_borrow_is_due(const struct limit_borrow *b, int64_t now_ms)
 {
-	int64_t pause = w->backoff_ms > ANSWER_MS ? w->backoff_ms : ANSWER_MS;
+	int64_t delay_ms =
+		b->backoff_ms > GRANT_WAIT_MS ? b->backoff_ms : GRANT_WAIT_MS;
 
-	return w->requested_ms == 0 || now_ms - w->requested_ms >= pause;
+	return b->requested_ms == 0 || now_ms - b->requested_ms >= delay_ms;
 }
 
-/* limit_borrow_deadline_ms() tells until when the last question may bring some. */
-int64_t limit_borrow_deadline_ms(const struct limit_borrow *w)
+/* Returns until when the last request may be granted; 0: there was none. */
+int64_t limit_borrow_deadline_ms(const struct limit_borrow *b)
 {
-	return w->requested_ms ? w->requested_ms + ANSWER_MS : 0;
+	return b->requested_ms ? b->requested_ms + GRANT_WAIT_MS : 0;
 }
 
 /*
- * limit_borrow_request() begins a question and returns its number. Where all are short
- * nobody grants anything, and they are asked less and less often.
+ * Starts a request and returns its serial number. As long as no peer grants
+ * anything, requests get less frequent.
  */
-uint32_t limit_borrow_request(struct limit_borrow *w, int64_t now_ms)
+uint32_t limit_borrow_request(struct limit_borrow *b, int64_t now_ms)
 {
-	w->requested_ms = now_ms;
-	if (++w->failures > VAIN_MAX)
-		w->backoff_ms =
-			w->backoff_ms ? 2 * w->backoff_ms : 2 * ANSWER_MS;
-	if (w->backoff_ms > PAUSE_MAX_MS)
-		w->backoff_ms = PAUSE_MAX_MS;
-	return ++w->serial;
+	b->requested_ms = now_ms;
+	if (++b->failures > FREE_FAILURES)
+		b->backoff_ms =
+			b->backoff_ms ? 2 * b->backoff_ms : 2 * GRANT_WAIT_MS;
+	if (b->backoff_ms > BACKOFF_MAX_MS)
+		b->backoff_ms = BACKOFF_MAX_MS;
+	return ++b->serial;
 }
 
-/* limit_borrow_accept() takes in a grant; false if it counts no more. */
-bool limit_borrow_accept(struct limit_borrow *w, uint32_t serial,
-			 uint32_t giver, int64_t now_ms)
+/* Accepts a grant; returns false if it is for an old request. */
+bool limit_borrow_accept(struct limit_borrow *b, uint32_t serial,
+			 uint32_t lender, int64_t now_ms)
 {
-	if (serial != w->serial || now_ms - w->requested_ms > ASKED_MAX_MS)
+	if (serial != b->serial ||
+	    now_ms - b->requested_ms > REQUEST_AGE_MAX_MS)
 		return false;
-	w->failures = 0;
-	w->backoff_ms = 0;
-	w->lender = giver;
+	b->failures = 0;
+	b->backoff_ms = 0;
+	b->lender = lender;
 	return true;
 }
 
-/* limit_grant_expiry_ms() tells until when a grant that comes now counts. */
+/* Returns until when a grant that arrives now is valid. */
 int64_t limit_grant_expiry_ms(int64_t now_ms)
 {
-	return now_ms + GRANT_MS;
+	return now_ms + GRANT_VALID_MS;
 }
--- a/core/limit_want.h
+++ b/core/limit_want.h
@@ -1,11 +1,12 @@
 /*
- * What an instance asks of the others when all servers of a service are in need and
- * it holds too little of their limits for its callers, while others hold more than
- * theirs use: that they give up a send that they may make, and grant it to this one.
+ * Borrowing of sends between instances. When all servers of a service have
+ * limits and this instance's quotas are too small for its callers, while others
+ * hold more than they use, it asks them to give up a send and grant it to this
+ * one.
  *
- * A grant is given up before it is told, so that whatever becomes of it the sum over
- * all instances doesn't grow: a lost one is a send less. One that comes late counts
- * no more, as its giver may have earned another by then.
+ * A lender gives up a send before it grants it, so the sum over all instances
+ * never grows: if the grant is lost, there is one send less. A late grant is
+ * ignored, as its lender may have got another token by then.
  */
 #ifndef MP_CORE_LIMIT_WANT_H
 #define MP_CORE_LIMIT_WANT_H
@@ -13,29 +14,29 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What it has asked for one service. Times are by a clock that never stops. */
+/* Requests for one service. Times are of a clock that also runs in suspend. */
 struct limit_borrow {
-	uint32_t serial; /* of the last question */
+	uint32_t serial; /* of the last request */
 	int64_t requested_ms;
-	int64_t backoff_ms; /* until the next, as questions bring nothing */
-	unsigned failures;  /* questions in a row that brought nothing */
-	uint32_t lender;    /* gave last; 0: nobody yet */
+	int64_t backoff_ms; /* delay of the next request */
+	unsigned failures;  /* requests in a row without a grant */
+	uint32_t lender;    /* peer_id() of the last one; 0: none yet */
 };
 
-/* A question for a send, or the grant of one, between two instances. */
+/* Message between two instances: a request for a send, or its grant. */
 struct limit_borrow_msg {
 	bool grant;
-	uint32_t from, to; /* peer_id(); to: 0: of a question, nobody named */
-	uint32_t
-		resource; /* the service by its hash; the server by its start */
-	uint32_t serial;  /* of the question */
+	uint32_t from, to; /* peer_id(); request to 0: any peer */
+	/* Of a request the service's hash, of a grant the server's start hash. */
+	uint32_t resource;
+	uint32_t serial; /* of the request */
 };
 
-bool limit_borrow_is_due(const struct limit_borrow *w, int64_t now_ms);
-int64_t limit_borrow_deadline_ms(const struct limit_borrow *w);
-uint32_t limit_borrow_request(struct limit_borrow *w, int64_t now_ms);
-bool limit_borrow_accept(struct limit_borrow *w, uint32_t serial,
-			 uint32_t giver, int64_t now_ms);
+bool limit_borrow_is_due(const struct limit_borrow *b, int64_t now_ms);
+int64_t limit_borrow_deadline_ms(const struct limit_borrow *b);
+uint32_t limit_borrow_request(struct limit_borrow *b, int64_t now_ms);
+bool limit_borrow_accept(struct limit_borrow *b, uint32_t serial,
+			 uint32_t lender, int64_t now_ms);
 int64_t limit_grant_expiry_ms(int64_t now_ms);
 
 #endif
--- a/core/quarantine.c
+++ b/core/quarantine.c
@@ -1,18 +1,19 @@
 #include "core/quarantine.h"
 
-/* quarantine_init() makes an empty one. */
+/* Initializes an empty quarantine. */
 void quarantine_init(struct quarantine *q)
 {
 	q->verdicts = g_hash_table_new_full(g_int64_hash, g_int64_equal, NULL,
 					    g_free);
 }
 
+/* Returns the verdict on a request, or NULL. */
 static struct verdict *find(const struct quarantine *q, uint64_t digest)
 {
 	return g_hash_table_lookup(q->verdicts, &digest);
 }
 
-/* quarantine_set() takes over a verdict in the place of an earlier one. */
+/* Sets the verdict on a request, which replaces an earlier one. */
 void quarantine_set(struct quarantine *q, const struct verdict *v)
 {
 	struct verdict *copy;
@@ -26,7 +27,7 @@
 	g_hash_table_replace(q->verdicts, &copy->digest, copy);
 }
 
-/* quarantine_kind() tells what is held against a request. */
+/* Returns the verdict on a request. */
 enum verdict_kind quarantine_kind(const struct quarantine *q, uint64_t digest)
 {
 	const struct verdict *v = find(q, digest);
@@ -34,7 +35,7 @@
 	return v ? v->kind : VERDICT_CLEAR;
 }
 
-/* quarantine_left_s() tells in how many seconds a refused one is tried. */
+/* Returns the seconds until the quarantine period ends; 0: not known. */
 double quarantine_left_s(const struct quarantine *q, uint64_t digest,
 			 int64_t now_ms)
 {
@@ -44,7 +45,7 @@
 					 : 0;
 }
 
-/* quarantine_take_trial() tells whether this copy is the one to be tried. */
+/* Returns whether this copy may be sent as the trial; true only once. */
 bool quarantine_take_trial(struct quarantine *q, uint64_t digest)
 {
 	struct verdict *v = find(q, digest);
@@ -55,17 +56,17 @@
 	return true;
 }
 
-/* quarantine_note_answer() remembers that a server has answered a request. */
+/* Remembers that a server has answered a request. */
 void quarantine_note_answer(struct quarantine *q, uint64_t digest)
 {
 	q->answered[digest % ANSWERED_SLOTS] = digest;
 }
 
 /*
- * quarantine_take_answer() tells whether an end is not to be held against a
- * request, as it was answered lately. Many copies of a popular one may be at
- * servers that end together for a reason of their own. One answer outweighs
- * one end.
+ * Returns whether a request was answered recently, so that a crash isn't held
+ * against it, and forgets that answer: one answer outweighs one crash. Many
+ * copies of a popular request may be at servers that stop together for another
+ * reason.
  */
 bool quarantine_take_answer(struct quarantine *q, uint64_t digest)
 {
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -1,7 +1,7 @@
 /*
- * The verdicts on requests that the traffic thread goes by, and the requests
- * that were answered lately, which no end is held against. The evidence is
- * the control thread's, see core/crash_tracker.h.
+ * Quarantine state that the traffic thread applies to requests, and the requests
+ * that were answered recently, against which no crash is held. The evidence is
+ * kept by the control thread, see core/crash_tracker.h.
  */
 #ifndef MP_CORE_QUARANTINE_H
 #define MP_CORE_QUARANTINE_H
@@ -12,22 +12,22 @@
 #include <glib.h>
 
 /*
- * Answers remembered, 8 bytes each: of 100 a second, which is more than an
- * instance has at the target size, those of the last ten seconds.
+ * Answers remembered, 8 bytes each: those of the last ten seconds at 100 per
+ * second, which is more than an instance has at the target size.
  */
 enum { ANSWERED_SLOTS = 1024 };
 
 enum verdict_kind {
-	VERDICT_CLEAR,	 /* nothing is held against it */
-	VERDICT_SUSPECT, /* a server has ended under it */
-	VERDICT_REFUSE,	 /* it ends servers: to be refused */
-	VERDICT_TRIAL,	 /* to be refused, but for the next copy */
+	VERDICT_CLEAR,	 /* not suspected */
+	VERDICT_SUSPECT, /* a server crashed while it had it */
+	VERDICT_REFUSE,	 /* quarantined: refused */
+	VERDICT_TRIAL,	 /* refused, except for the next copy */
 };
 
 struct verdict {
 	uint64_t digest;
 	enum verdict_kind kind;
-	int64_t until_ms; /* the end of its term; of a refused one only */
+	int64_t until_ms; /* end of the period, of VERDICT_REFUSE */
 };
 
 struct quarantine {
--- a/core/server_limit.c
+++ b/core/server_limit.c
@@ -1,14 +1,15 @@
 #include "core/server_limit.h"
 
 /*
- * A word is old when two requests more should have been sent by the limit, at the
- * lowest in so long, and instances had time to tell each other of them.
+ * A report is stale when the limit would have allowed two more requests since
+ * (at low limits: after STALE_MAX_S) and instances had time to gossip the
+ * responses.
  */
 static const double STALE_REQUESTS = 2;
-static const double STALE_LONGEST_S = 20;
-static const double STALE_TOLD_S = 5;
+static const double STALE_MAX_S = 20;
+static const double STALE_GOSSIP_S = 5;
 
-/* limit_source_name() names in logs who told of a limit. */
+/* Returns the name of a report's source in logs. */
 const char *limit_source_name(enum limit_source source)
 {
 	static const char *const names[] = {"answer", "question", "peer"};
@@ -16,101 +17,101 @@
 	return names[source];
 }
 
-/* From now on w is what counts. */
-static void take_word(struct server_limit *l, const struct limit_report *w)
+/* Puts a report in force. */
+static void put_in_force(struct server_limit *l, const struct limit_report *r)
 {
-	l->limited = w->limited;
-	l->per_s = w->limited ? w->per_s : 0;
-	l->sent_ms = w->sent_ms;
-	l->received_ms = w->received_ms;
+	l->limited = r->limited;
+	l->per_s = r->limited ? r->per_s : 0;
+	l->sent_ms = r->sent_ms;
+	l->received_ms = r->received_ms;
 }
 
-/* The same once more: what is known of when the server said so is the later. */
-static void confirm(struct server_limit *l, const struct limit_report *w)
+/* Updates the times of the report in force from one with the same limit. */
+static void confirm(struct server_limit *l, const struct limit_report *r)
 {
-	if (w->sent_ms > l->sent_ms)
-		l->sent_ms = w->sent_ms;
-	if (w->received_ms > l->received_ms)
-		l->received_ms = w->received_ms;
+	if (r->sent_ms > l->sent_ms)
+		l->sent_ms = r->sent_ms;
+	if (r->received_ms > l->received_ms)
+		l->received_ms = r->received_ms;
 }
 
-static enum limit_change hear_named(struct server_limit *l,
-				    const struct limit_report *w, bool newer)
+/* Applies a report of a limit. */
+static enum limit_change apply_limit(struct server_limit *l,
+				     const struct limit_report *r, bool newer)
 {
 	if (!l->limited) {
-		/* A late word of before the end. */
-		if (l->received_ms && w->received_ms <= l->sent_ms)
+		/* Made before the limit ended, but received late. */
+		if (l->received_ms && r->received_ms <= l->sent_ms)
 			return LIMIT_UNCHANGED;
-		take_word(l, w);
+		put_in_force(l, r);
 		return LIMIT_STARTED;
 	}
-	if (w->per_s == l->per_s) {
-		confirm(l, w);
+	if (r->per_s == l->per_s) {
+		confirm(l, r);
 		return LIMIT_UNCHANGED;
 	}
-	if (!newer && w->per_s > l->per_s)
+	if (!newer && r->per_s > l->per_s)
 		return LIMIT_UNCHANGED;
-	if (w->received_ms <= l->sent_ms)
+	if (r->received_ms <= l->sent_ms)
 		return LIMIT_UNCHANGED;
-	take_word(l, w);
+	put_in_force(l, r);
 	return LIMIT_CHANGED;
 }
 
 /*
- * Questions may be answered without what other answers say: that one of them
- * names no limit says something only of a server whose questions have named it.
+ * Returns whether a report without a limit is inconclusive. Responses to probes
+ * may lack what other responses contain: that there is no limit in one means
+ * something only if the server's responses to probes have contained it before.
  */
-static bool says_nothing(const struct server_limit *l,
-			 const struct limit_report *w)
+static bool is_inconclusive(const struct server_limit *l,
+			    const struct limit_report *r)
 {
-	return w->source == LIMIT_BY_PROBE && !l->in_probes;
+	return r->source == LIMIT_BY_PROBE && !l->in_probes;
 }
 
-static enum limit_change hear_unnamed(struct server_limit *l,
-				      const struct limit_report *w, bool newer)
+/* Applies a report without a limit. */
+static enum limit_change
+apply_no_limit(struct server_limit *l, const struct limit_report *r, bool newer)
 {
-	if (says_nothing(l, w) || !newer)
+	if (is_inconclusive(l, r) || !newer)
 		return LIMIT_UNCHANGED;
 	if (!l->limited) {
-		confirm(l, w);
+		confirm(l, r);
 		return LIMIT_UNCHANGED;
 	}
-	take_word(l, w);
+	put_in_force(l, r);
 	return LIMIT_ENDED;
 }
 
-/*
- * server_limit_update() takes in a word of the server and says what it changed.
- */
+/* Applies a report and returns what it changed. */
 enum limit_change server_limit_update(struct server_limit *l,
-				      const struct limit_report *w,
+				      const struct limit_report *r,
 				      int64_t now_ms)
 {
-	bool newer = w->sent_ms >= l->received_ms;
+	bool newer = r->sent_ms >= l->received_ms;
 	enum limit_change change;
 
-	if (!w->limited)
-		return hear_unnamed(l, w, newer);
-	change = hear_named(l, w, newer);
+	if (!r->limited)
+		return apply_no_limit(l, r, newer);
+	change = apply_limit(l, r, newer);
 	if (change == LIMIT_STARTED)
 		l->since_ms = now_ms;
-	if (w->source == LIMIT_BY_PROBE)
+	if (r->source == LIMIT_BY_PROBE)
 		l->in_probes = true;
 	return change;
 }
 
 /*
- * server_limit_is_stale() tells whether nobody has heard from the server for longer
- * than its limit explains: those that hold the limit have no callers, or are gone,
- * and would not hear of its end.
+ * Returns whether no instance has had a response from the server for longer than
+ * its limit explains. The holders of the limit then have no callers or are gone,
+ * and wouldn't learn of its end.
  */
 bool server_limit_is_stale(const struct server_limit *l, int64_t now_ms)
 {
-	double due_s =
-		l->per_s > 0 ? STALE_REQUESTS / l->per_s : STALE_LONGEST_S;
+	double due_s = l->per_s > 0 ? STALE_REQUESTS / l->per_s : STALE_MAX_S;
 
-	if (due_s > STALE_LONGEST_S)
-		due_s = STALE_LONGEST_S;
+	if (due_s > STALE_MAX_S)
+		due_s = STALE_MAX_S;
 	return l->limited && (double)(now_ms - l->received_ms) >
-				     (due_s + STALE_TOLD_S) * 1000;
+				     (due_s + STALE_GOSSIP_S) * 1000;
 }
--- a/core/server_limit.h
+++ b/core/server_limit.h
@@ -1,13 +1,15 @@
 /*
- * The limit that a backend server in need names: how many requests a second it
- * takes from all instances together, for as long as its answers say so. Here is
- * what one instance believes of it, from the server's own words and from peers'.
+ * The limit that an overloaded backend server announces: how many requests per
+ * second it takes from all instances together, for as long as its responses say
+ * so. This is what one instance knows of it, from the server's responses and
+ * from peers.
  *
- * Answers on several connections overtake each other, and a peer's word is older
- * than its datagram. Of each word it is known only that the server said it between
- * two moments: after it was asked, and before it was heard. A word is newer than
- * another if it was asked after the other was heard. Where that isn't sure the
- * tighter one counts, so that no overtaking ends a limit or raises it.
+ * Responses on several connections overtake each other, and a peer's report is
+ * older than its datagram. Of each report it is only known that the server made
+ * it between two times: after the request was sent, and before the response was
+ * received. A report is newer than another if its request was sent after the
+ * other was received. If the order isn't known, the lower limit counts, so that
+ * reordering never ends or raises a limit.
  */
 #ifndef MP_CORE_SERVER_LIMIT_H
 #define MP_CORE_SERVER_LIMIT_H
@@ -17,10 +19,10 @@
 
 enum limit_source { LIMIT_BY_RESPONSE, LIMIT_BY_PROBE, LIMIT_BY_PEER };
 
-/* What the server says, and when it said so; by a steady clock. */
+/* What the server announced, and when; times are monotonic. */
 struct limit_report {
 	bool limited;
-	double per_s; /* if named: requests a second, of all instances */
+	double per_s; /* if limited: requests per second, all instances */
 	int64_t sent_ms, received_ms;
 	enum limit_source source;
 };
@@ -35,13 +37,13 @@
 struct server_limit {
 	bool limited;
 	double per_s;
-	int64_t since_ms;	      /* named, as far as known here */
-	int64_t sent_ms, received_ms; /* of the word that counts; 0: none yet */
-	bool in_probes; /* the server's answers to questions name it too */
+	int64_t since_ms; /* limited since then, as far as known here */
+	int64_t sent_ms, received_ms; /* of the report in force; 0: none */
+	bool in_probes; /* responses to probes have announced it too */
 };
 
 enum limit_change server_limit_update(struct server_limit *l,
-				      const struct limit_report *w,
+				      const struct limit_report *r,
 				      int64_t now_ms);
 bool server_limit_is_stale(const struct server_limit *l, int64_t now_ms);
 const char *limit_source_name(enum limit_source source);
--- a/tests/test_limit_room.c
+++ b/tests/test_limit_room.c
@@ -1,6 +1,6 @@
 /*
- * Tests of core/limit_capacity and of the times that callers are told by it: what a
- * service takes when all its servers are in need.
+ * Tests of core/limit_capacity and of the Retry-After times that follow from it:
+ * the capacity of a service whose servers all have limits.
  */
 #include "tests/unit.h"
 
@@ -9,7 +9,7 @@
 #include "core/retry_after.h"
 #include "tests/servers.h"
 
-/* Server i names a limit, of which this instance holds all. */
+/* Gives server i a limit that this instance holds alone. */
 static void limit(struct servers *s, int i, double per_s, bool saved)
 {
 	struct limit_instance self = {1, 1};
@@ -24,7 +24,7 @@
 	limit_share_set_quota(&b->state->limit->share, &part, 0);
 }
 
-/* One without a limit has room of another kind: nothing is known of waits. */
+/* A server without a limit makes the capacity unknown. */
 static void test_not_all(void **state)
 {
 	struct servers *s = servers_new(3, 4);
@@ -37,7 +37,7 @@
 	servers_free(s);
 }
 
-/* One that takes no new work doesn't count. */
+/* A draining server doesn't count. */
 static void test_draining(void **state)
 {
 	struct servers *s = servers_new(2, 4);
@@ -50,60 +50,61 @@
 	servers_free(s);
 }
 
+/* Waits follow from tokens and refill of all servers. */
 static void test_waits(void **state)
 {
 	struct servers *s = servers_new(2, 4);
-	struct limit_capacity room;
+	struct limit_capacity capacity;
 
 	limit(s, 0, 5, false);
 	limit(s, 1, 5, false);
-	room = limit_capacity(s->service, 0);
-	assert_int_equal(room.available, 0);
-	assert_true(fabs(room.rate_s - 10) < 1e-9);
-	assert_int_equal(room.next_ms, 200);
-	/* The two earn 10 a second together, the first of each after 200 ms. */
-	assert_true(fabs(limit_capacity_wait_ms(&room, 0) - 200) < 1e-9);
-	assert_true(fabs(limit_capacity_wait_ms(&room, 9) - 1000) < 1e-9);
-	room = limit_capacity(s->service, 400);
-	assert_int_equal(room.available, 4);
-	assert_true(limit_capacity_wait_ms(&room, 3) == 0);
-	assert_true(fabs(limit_capacity_wait_ms(&room, 5) - 200) < 1e-6);
+	capacity = limit_capacity(s->service, 0);
+	assert_int_equal(capacity.available, 0);
+	assert_true(fabs(capacity.rate_s - 10) < 1e-9);
+	assert_int_equal(capacity.next_ms, 200);
+	/* Together they refill 10 per second, each its first after 200 ms. */
+	assert_true(fabs(limit_capacity_wait_ms(&capacity, 0) - 200) < 1e-9);
+	assert_true(fabs(limit_capacity_wait_ms(&capacity, 9) - 1000) < 1e-9);
+	capacity = limit_capacity(s->service, 400);
+	assert_int_equal(capacity.available, 4);
+	assert_true(limit_capacity_wait_ms(&capacity, 3) == 0);
+	assert_true(fabs(limit_capacity_wait_ms(&capacity, 5) - 200) < 1e-6);
 	servers_free(s);
 }
 
-/* An instance that holds nothing knows of no turn. */
-static void test_nothing_held(void **state)
+/* An instance without a quota can't tell a wait. */
+static void test_no_quota(void **state)
 {
 	struct servers *s = servers_new(1, 4);
 	struct limit_quota none = {.held = false};
-	struct limit_capacity room;
+	struct limit_capacity capacity;
 	int64_t promised = 0;
 
 	limit(s, 0, 5, true);
 	limit_share_set_quota(&s->list[0]->state->limit->share, &none, 0);
-	room = limit_capacity(s->service, 0);
-	assert_true(room.all_limited);
-	assert_true(isinf(limit_capacity_wait_ms(&room, 0)));
-	assert_true(retry_after_turn_s(&promised, &room, 0, 900, 0) == 0);
+	capacity = limit_capacity(s->service, 0);
+	assert_true(capacity.all_limited);
+	assert_true(isinf(limit_capacity_wait_ms(&capacity, 0)));
+	assert_true(retry_after_turn_s(&promised, &capacity, 0, 900, 0) == 0);
 	servers_free(s);
 }
 
-/* Those that are refused together get turns one after the other. */
-static void test_turns(void **state)
+/* Callers that are refused together get staggered Retry-After times. */
+static void test_staggered_retries(void **state)
 {
 	struct servers *s = servers_new(1, 4);
-	struct limit_capacity room;
+	struct limit_capacity capacity;
 	int64_t promised = 0;
 
 	limit(s, 0, 10, false);
-	room = limit_capacity(s->service, 0);
+	capacity = limit_capacity(s->service, 0);
 	for (int i = 1; i <= 5; i++)
-		assert_true(
-			fabs(retry_after_turn_s(&promised, &room, 0, 9000, 0) -
-			     0.1 * i) < 0.0011);
-	/* One that will not come back by then takes nobody's turn. */
-	assert_true(retry_after_turn_s(&promised, &room, 0, 300, 0) > 0.5);
-	assert_true(fabs(retry_after_turn_s(&promised, &room, 0, 9000, 0) -
+		assert_true(fabs(retry_after_turn_s(&promised, &capacity, 0,
+						    9000, 0) -
+				 0.1 * i) < 0.0011);
+	/* A caller without enough time left reserves no slot. */
+	assert_true(retry_after_turn_s(&promised, &capacity, 0, 300, 0) > 0.5);
+	assert_true(fabs(retry_after_turn_s(&promised, &capacity, 0, 9000, 0) -
 			 0.6) < 0.0011);
 	servers_free(s);
 }
@@ -114,8 +115,8 @@
 		cmocka_unit_test(test_not_all),
 		cmocka_unit_test(test_draining),
 		cmocka_unit_test(test_waits),
-		cmocka_unit_test(test_nothing_held),
-		cmocka_unit_test(test_turns),
+		cmocka_unit_test(test_no_quota),
+		cmocka_unit_test(test_staggered_retries),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_limit_share.c
+++ b/tests/test_limit_share.c
@@ -1,15 +1,16 @@
 /*
- * Tests of core/limit_share: what all instances together send to a server that
- * names a limit.
+ * Tests of core/limit_share: what all instances together send to a server with a
+ * limit.
  *
- * What users saw: a server that named 5.1 requests a second got 36 in 4 s, where the
- * rule allows 1.5 times what the limit does and 5 more, 35. Cause: nobody read the
- * limit. An equal bucket of one request at each instance would have broken it as
- * well: 16 of them send 36 after a quiet spell, 100 send 122 (bare arithmetic).
+ * Guards against 36 requests in 4 s to a server with a limit of 5.1 per second,
+ * where the rule allows 1.5 times what the limit does plus 5, that is 35: the
+ * limit was ignored. A bucket of one request at every instance would exceed it
+ * as well: after an idle period 16 instances send 36, and 100 send 122 (computed,
+ * not run).
  *
- * Played here: any number of instances on one clock, each of which sends whenever it
- * may. They are killed, start anew, stand still, are cut off, leave and join, and
- * links to the server hold sends up. Every window of the rule is checked.
+ * Simulates any number of instances on one clock, each of which sends whenever
+ * it may. Instances are killed, restart, hang, are cut off, leave and join, and
+ * sends are delayed on the way to the server. The rule is checked in all windows.
  */
 #include "tests/unit.h"
 
@@ -22,11 +23,11 @@
 
 enum {
 	STEP_MS = 10,
-	DAY_MS = 60000,
-	STEPS = DAY_MS / STEP_MS,
+	RUN_MS = 60000,
+	STEPS = RUN_MS / STEP_MS,
 	INSTANCES_MAX = 300,
-	ON_WAY_MAX = 4096,
-	SERVER = 4711, /* its number */
+	IN_FLIGHT_MAX = 4096,
+	SERVER = 4711, /* identifies the server */
 	JOIN_HEARD_MS = 500,
 	HEARTBEAT_MS = 500,
 };
@@ -34,86 +35,89 @@
 struct instance {
 	uint32_t id;
 	bool runs;
-	int64_t begins_ms; /* starts anew then, if it doesn't run */
-	int64_t still_ms;  /* stands still until then */
-	int64_t cut_ms;	   /* hears nobody, and is not heard, until then */
-	int64_t known_ms;  /* others know of it from then on */
-	int64_t knows_ms;  /* it knows the others from then on */
-	bool left;	   /* for good, as planned, and all know it */
+	int64_t restart_ms; /* restarts then, if not running */
+	int64_t hangs_ms;   /* hangs until then */
+	int64_t cut_off_ms; /* cut off from all others until then */
+	int64_t known_ms;   /* others know it from then on */
+	int64_t knows_ms;   /* it knows others from then on */
+	bool left;	    /* shut down for good, and all know it */
 	struct limit_share share;
 };
 
-/* A send that the server has not answered yet. */
-struct on_way {
+/* A send that has not ended yet. */
+struct in_flight {
 	int sender;
 	uint32_t lifetime_id;
 	int64_t arrives_ms, ends_ms;
 	bool arrived;
 };
 
-struct world {
+struct system {
 	struct instance all[INSTANCES_MAX];
 	uint32_t lifetimes[INSTANCES_MAX];
 	int n;
 	GRand *rand;
 	double per_s;
-	int64_t held_ms; /* the way to the server is held up until then */
-	struct on_way on_way[ON_WAY_MAX];
-	int non_way;
+	int64_t delayed_ms; /* sends to the server are delayed until then */
+	struct in_flight in_flight[IN_FLIGHT_MAX];
+	int nin_flight;
 	uint32_t arrived[STEPS + 1];
 	uint64_t sum;
 	bool changed;
-	double demand; /* chance that an instance wants to send in a step */
-	int wanting;   /* only so many have callers; the others give up sends */
+	double demand; /* probability that an instance sends in a step */
+	int senders;   /* instances with callers; the others lend sends */
 };
 
-static struct world *world_of(int n, double per_s, guint32 seed)
+/* Returns a system of n instances and a server with a limit. */
+static struct system *system_new(int n, double per_s, guint32 seed)
 {
-	struct world *w = g_new0(struct world, 1);
-
-	w->n = n;
-	w->per_s = per_s;
-	w->rand = g_rand_new_with_seed(seed);
-	w->changed = true;
-	w->demand = 1;
-	w->wanting = n;
+	struct system *sys = g_new0(struct system, 1);
+
+	sys->n = n;
+	sys->per_s = per_s;
+	sys->rand = g_rand_new_with_seed(seed);
+	sys->changed = true;
+	sys->demand = 1;
+	sys->senders = n;
 	for (int i = 0; i < n; i++) {
-		w->all[i].id = g_rand_int(w->rand);
-		w->all[i].runs = true;
-		/* They were there from before the limit. */
-		limit_share_init(&w->all[i].share, true, 0);
+		sys->all[i].id = g_rand_int(sys->rand);
+		sys->all[i].runs = true;
+		/* They have run since before the limit. */
+		limit_share_init(&sys->all[i].share, true, 0);
 	}
-	return w;
+	return sys;
 }
 
-static void world_free(struct world *w)
+/* Frees a system. */
+static void system_free(struct system *sys)
 {
-	g_rand_free(w->rand);
-	g_free(w);
+	g_rand_free(sys->rand);
+	g_free(sys);
 }
 
+/* Returns whether a hears from b. */
 static bool hears(const struct instance *a, const struct instance *b,
 		  int64_t now_ms)
 {
-	return b->runs && now_ms >= b->still_ms && now_ms >= a->cut_ms &&
-	       now_ms >= b->cut_ms;
+	return b->runs && now_ms >= b->hangs_ms && now_ms >= a->cut_off_ms &&
+	       now_ms >= b->cut_off_ms;
 }
 
-/* Each works out anew what it holds, as it knows the others. */
-static void set_parts(struct world *w, int64_t now_ms)
+/* Sets the quota of each instance from the instances that it knows. */
+static void set_quotas(struct system *sys, int64_t now_ms)
 {
 	struct limit_instance list[INSTANCES_MAX];
 
-	for (int i = 0; i < w->n; i++) {
-		struct instance *self = &w->all[i];
+	for (int i = 0; i < sys->n; i++) {
+		struct instance *self = &sys->all[i];
 		struct limit_instances s = {list, 0};
-		struct limit_quota part;
+		struct limit_quota quota;
 
-		if (!self->runs || now_ms < self->still_ms)
+		if (!self->runs || now_ms < self->hangs_ms)
 			continue;
 		list[s.n++] = (struct limit_instance){self->id, 1};
-		for (int k = 0; k < w->n; k++) {
-			const struct instance *o = &w->all[k];
+		for (int k = 0; k < sys->n; k++) {
+			const struct instance *o = &sys->all[k];
 
 			if (k != i && !o->left && now_ms >= o->known_ms)
 				list[s.n++] = (struct limit_instance){
@@ -121,291 +125,310 @@
 		}
 		if (now_ms < self->knows_ms)
 			s.n = 0;
-		part = limit_quota(w->per_s, SERVER, &s);
-		limit_share_set_quota(&self->share, &part, now_ms);
+		quota = limit_quota(sys->per_s, SERVER, &s);
+		limit_share_set_quota(&self->share, &quota, now_ms);
 	}
 }
 
-/* The process begins anew: it holds nothing, and knows of nobody at first. */
-static void begin(struct world *w, int i, int64_t now_ms)
+/* Starts a new process of instance i, without tokens and known instances. */
+static void start(struct system *sys, int i, int64_t now_ms)
 {
-	struct instance *in = &w->all[i];
+	struct instance *in = &sys->all[i];
 
 	in->runs = true;
-	in->knows_ms = now_ms + g_rand_int_range(w->rand, 0, 1000);
-	w->lifetimes[i]++;
+	in->knows_ms = now_ms + g_rand_int_range(sys->rand, 0, 1000);
+	sys->lifetimes[i]++;
 	limit_share_init(&in->share, false, now_ms);
-	w->changed = true;
+	sys->changed = true;
 }
 
-static void kill_one(struct world *w, int i, int64_t back_ms)
+/* Kills instance i; it restarts at back_ms. */
+static void kill_instance(struct system *sys, int i, int64_t back_ms)
 {
-	w->all[i].runs = false;
-	w->all[i].begins_ms = back_ms;
-	w->changed = true;
+	sys->all[i].runs = false;
+	sys->all[i].restart_ms = back_ms;
+	sys->changed = true;
 }
 
-/* A send leaves that was granted or taken so long before. */
-static void on_its_way(struct world *w, int i, int64_t now_ms,
-		       int64_t before_ms)
+/* Adds a send in flight; a lent one (i < 0) leaves delay_ms later. */
+static void add_in_flight(struct system *sys, int i, int64_t now_ms,
+			  int64_t delay_ms)
 {
-	int64_t way = before_ms + g_rand_int_range(w->rand, 0, 100);
+	int64_t way = delay_ms + g_rand_int_range(sys->rand, 0, 100);
 	int64_t arrives = now_ms + way;
 
-	if (arrives < w->held_ms && before_ms == 0)
-		arrives = w->held_ms;
-	if (w->non_way == ON_WAY_MAX)
-		fail_msg("more on their way than the test holds");
-	w->on_way[w->non_way++] = (struct on_way){
+	if (arrives < sys->delayed_ms && delay_ms == 0)
+		arrives = sys->delayed_ms;
+	if (sys->nin_flight == IN_FLIGHT_MAX)
+		fail_msg("more than IN_FLIGHT_MAX sends in flight");
+	sys->in_flight[sys->nin_flight++] = (struct in_flight){
 		.sender = i,
-		.lifetime_id = i < 0 ? 0 : w->lifetimes[i],
+		.lifetime_id = i < 0 ? 0 : sys->lifetimes[i],
 		.arrives_ms = arrives,
-		.ends_ms = arrives + g_rand_int_range(w->rand, 5, 300)};
+		.ends_ms = arrives + g_rand_int_range(sys->rand, 5, 300)};
 }
 
-/* Whether the sender has heard how it ended, or is no more. */
-static bool is_over(const struct world *w, const struct on_way *o,
+/* Returns whether the sender knows that a send ended, or has stopped itself. */
+static bool is_done(const struct system *sys, const struct in_flight *o,
 		    int64_t now_ms)
 {
 	const struct instance *in;
 
 	if (o->sender < 0)
 		return o->arrived;
-	in = &w->all[o->sender];
-	return now_ms >= o->ends_ms && (!in->runs || now_ms >= in->still_ms);
+	in = &sys->all[o->sender];
+	return now_ms >= o->ends_ms && (!in->runs || now_ms >= in->hangs_ms);
 }
 
-static void deliver(struct world *w, int64_t now_ms)
+/* Delivers the sends that arrive, and removes those that have ended. */
+static void deliver(struct system *sys, int64_t now_ms)
 {
-	for (int k = w->non_way - 1; k >= 0; k--) {
-		struct on_way *o = &w->on_way[k];
-		struct instance *in = o->sender < 0 ? NULL : &w->all[o->sender];
+	for (int k = sys->nin_flight - 1; k >= 0; k--) {
+		struct in_flight *o = &sys->in_flight[k];
+		struct instance *in =
+			o->sender < 0 ? NULL : &sys->all[o->sender];
 
 		if (!o->arrived && now_ms >= o->arrives_ms) {
 			o->arrived = true;
-			w->arrived[now_ms / STEP_MS]++;
-			w->sum++;
+			sys->arrived[now_ms / STEP_MS]++;
+			sys->sum++;
 		}
-		if (!is_over(w, o, now_ms))
+		if (!is_done(sys, o, now_ms))
 			continue;
-		if (in && in->runs && o->lifetime_id == w->lifetimes[o->sender])
+		if (in && in->runs &&
+		    o->lifetime_id == sys->lifetimes[o->sender])
 			limit_share_send_done(&in->share, now_ms);
-		*o = w->on_way[--w->non_way];
+		*o = sys->in_flight[--sys->nin_flight];
 	}
 }
 
-static void send_one(struct world *w, int i, int64_t now_ms)
+/* Sends a request from instance i. */
+static void send_one(struct system *sys, int i, int64_t now_ms)
 {
-	limit_share_take(&w->all[i].share, now_ms);
-	on_its_way(w, i, now_ms, 0);
+	limit_share_take(&sys->all[i].share, now_ms);
+	add_in_flight(sys, i, now_ms, 0);
 }
 
-/* Gives one up for another, which may use it a while later. */
-static void give_one(struct world *w, int i, int64_t now_ms)
+/* Gives up a send for another instance, which may use it later. */
+static void lend_one(struct system *sys, int i, int64_t now_ms)
 {
-	limit_share_take(&w->all[i].share, now_ms);
-	limit_share_send_done(&w->all[i].share, now_ms);
-	on_its_way(w, -1, now_ms, g_rand_int_range(w->rand, 1, 400));
+	limit_share_take(&sys->all[i].share, now_ms);
+	limit_share_send_done(&sys->all[i].share, now_ms);
+	add_in_flight(sys, -1, now_ms, g_rand_int_range(sys->rand, 1, 400));
 }
 
-typedef void (*trouble_fn)(struct world *w, int64_t now_ms);
+typedef void (*fault_fn)(struct system *sys, int64_t now_ms);
 
-static void play(struct world *w, trouble_fn trouble)
+/* Simulates a run with all instances sending as they may. */
+static void simulate(struct system *sys, fault_fn fault)
 {
-	for (int64_t now = 0; now < DAY_MS; now += STEP_MS) {
-		if (trouble)
-			trouble(w, now);
-		for (int i = 0; i < w->n; i++) {
-			if (!w->all[i].runs && !w->all[i].left &&
-			    now >= w->all[i].begins_ms)
-				begin(w, i, now);
+	for (int64_t now = 0; now < RUN_MS; now += STEP_MS) {
+		if (fault)
+			fault(sys, now);
+		for (int i = 0; i < sys->n; i++) {
+			if (!sys->all[i].runs && !sys->all[i].left &&
+			    now >= sys->all[i].restart_ms)
+				start(sys, i, now);
 		}
-		/* Cuts, joins and stops end at times of their own. */
-		if (w->changed || now % HEARTBEAT_MS == 0)
-			set_parts(w, now);
-		w->changed = false;
-		deliver(w, now);
-		for (int i = 0; i < w->n; i++) {
-			struct instance *in = &w->all[i];
-
-			if (!in->runs || now < in->still_ms ||
-			    (w->demand < 1 &&
-			     g_rand_double(w->rand) > w->demand))
+		/* Partitions, joins and hangs end without an event. */
+		if (sys->changed || now % HEARTBEAT_MS == 0)
+			set_quotas(sys, now);
+		sys->changed = false;
+		deliver(sys, now);
+		for (int i = 0; i < sys->n; i++) {
+			struct instance *in = &sys->all[i];
+
+			if (!in->runs || now < in->hangs_ms ||
+			    (sys->demand < 1 &&
+			     g_rand_double(sys->rand) > sys->demand))
 				continue;
 			while (limit_share_allows(&in->share, now)) {
-				if (i < w->wanting)
-					send_one(w, i, now);
+				if (i < sys->senders)
+					send_one(sys, i, now);
 				else
-					give_one(w, i, now);
+					lend_one(sys, i, now);
 			}
 		}
 	}
 }
 
-/* The worst window, less what the rule allows. */
-static double worst_over(const struct world *w)
+/* Returns the sends of the worst window minus what the rule allows. */
+static double worst_excess(const struct system *sys)
 {
 	int len = 4000 / STEP_MS;
 	int64_t sum = 0;
 	double worst = -HUGE_VAL;
 
 	for (int i = 0; i < STEPS; i++) {
-		sum += w->arrived[i];
+		sum += sys->arrived[i];
 		if (i >= len)
-			sum -= w->arrived[i - len];
+			sum -= sys->arrived[i - len];
 		if ((double)sum > worst)
 			worst = (double)sum;
 	}
-	return worst - (1.5 * w->per_s * 4 + 5);
+	return worst - (1.5 * sys->per_s * 4 + 5);
 }
 
-static int any(struct world *w)
+/* Returns a random instance. */
+static int random_instance(struct system *sys)
 {
-	return g_rand_int_range(w->rand, 0, w->n);
+	return g_rand_int_range(sys->rand, 0, sys->n);
 }
 
-static bool happens(struct world *w, double per_s)
+/* Returns true at random, per_s times per second. */
+static bool happens(struct system *sys, double per_s)
 {
-	return g_rand_double(w->rand) < per_s * STEP_MS / 1000;
+	return g_rand_double(sys->rand) < per_s * STEP_MS / 1000;
 }
 
-static void kills(struct world *w, int64_t now)
+/* Two kills per second, of random instances. */
+static void kills(struct system *sys, int64_t now)
 {
-	if (happens(w, 2))
-		kill_one(w, any(w), now + g_rand_int_range(w->rand, 0, 3000));
+	if (happens(sys, 2))
+		kill_instance(sys, random_instance(sys),
+			      now + g_rand_int_range(sys->rand, 0, 3000));
 }
 
-/* All at once, again and again. */
-static void all_killed(struct world *w, int64_t now)
+/* Kills all instances at once, again and again. */
+static void all_killed(struct system *sys, int64_t now)
 {
 	if (now % 3500 != 2000)
 		return;
-	for (int i = 0; i < w->n; i++)
-		kill_one(w, i, now + g_rand_int_range(w->rand, 0, 800));
+	for (int i = 0; i < sys->n; i++)
+		kill_instance(sys, i,
+			      now + g_rand_int_range(sys->rand, 0, 800));
 }
 
-static void stands_still(struct world *w, int64_t now)
+/* One instance per second hangs for 5 s. */
+static void hangs(struct system *sys, int64_t now)
 {
-	if (happens(w, 1))
-		w->all[any(w)].still_ms = now + 5000;
+	if (happens(sys, 1))
+		sys->all[random_instance(sys)].hangs_ms = now + 5000;
 }
 
-/* Half of them, each alone; some begin anew while they are cut off. */
-static void cuts(struct world *w, int64_t now)
+/* Every other instance is cut off from all; some restart meanwhile. */
+static void partitions(struct system *sys, int64_t now)
 {
 	if (now % 20000 == 5000) {
-		for (int i = 0; i < w->n; i += 2)
-			w->all[i].cut_ms = now + 12000;
+		for (int i = 0; i < sys->n; i += 2)
+			sys->all[i].cut_off_ms = now + 12000;
 	}
-	kills(w, now);
+	kills(sys, now);
 }
 
-static void held_up(struct world *w, int64_t now)
+/* Delays all sends to the server for up to 4 s. */
+static void delays(struct system *sys, int64_t now)
 {
 	if (now % 9000 == 3000)
-		w->held_ms = now + g_rand_int_range(w->rand, 200, 4000);
+		sys->delayed_ms = now + g_rand_int_range(sys->rand, 200, 4000);
 }
 
-/* Some leave for good, as planned; others come in their place. */
-static void moves(struct world *w, int64_t now)
+/* Some instances shut down for good, and new ones replace them. */
+static void replacements(struct system *sys, int64_t now)
 {
-	int i = any(w);
+	int i = random_instance(sys);
 
-	if (!happens(w, 0.5) || now < w->all[i].known_ms + 5000)
+	if (!happens(sys, 0.5) || now < sys->all[i].known_ms + 5000)
 		return;
-	w->all[i] = (struct instance){
-		.id = g_rand_int(w->rand),
+	sys->all[i] = (struct instance){
+		.id = g_rand_int(sys->rand),
 		.runs = false,
-		.begins_ms = now + 100,
+		.restart_ms = now + 100,
 		.known_ms = now + 100 +
-			    g_rand_int_range(w->rand, 0, JOIN_HEARD_MS)};
-	w->lifetimes[i]++;
-	w->changed = true;
+			    g_rand_int_range(sys->rand, 0, JOIN_HEARD_MS)};
+	sys->lifetimes[i]++;
+	sys->changed = true;
 }
 
-static void quiet_spells(struct world *w, int64_t now)
+/* No sends in 7 of 10 s. */
+static void idle_periods(struct system *sys, int64_t now)
 {
-	w->demand = now % 10000 < 7000 ? 0 : 1;
+	sys->demand = now % 10000 < 7000 ? 0 : 1;
 }
 
-static void all_kinds(struct world *w, int64_t now)
+/* All faults together. */
+static void all_faults(struct system *sys, int64_t now)
 {
-	kills(w, now);
-	all_killed(w, now);
-	stands_still(w, now);
-	held_up(w, now);
-	quiet_spells(w, now);
+	kills(sys, now);
+	all_killed(sys, now);
+	hangs(sys, now);
+	delays(sys, now);
+	idle_periods(sys, now);
 }
 
 static const double limits[] = {0,   0.02, 0.3, 0.5, 0.9, 1,
 				1.7, 2,	   5.1, 5.7, 25,  120};
 static const int sizes[] = {1, 2, 3, 16, 64, 300};
 
-static void expect_rule(trouble_fn trouble, double wanting, const char *what)
+/*
+ * Checks the rule for all limits and system sizes under a fault; `senders` is the
+ * fraction of instances with callers.
+ */
+static void check_rule(fault_fn fault, double senders, const char *what)
 {
 	for (size_t l = 0; l < G_N_ELEMENTS(limits); l++) {
 		for (size_t s = 0; s < G_N_ELEMENTS(sizes); s++) {
-			struct world *w = world_of(sizes[s], limits[l],
-						   (guint32)(100 * l + s));
-			double over;
-
-			w->wanting = (int)(wanting * sizes[s]);
-			play(w, trouble);
-			over = worst_over(w);
-			if (over > 0)
-				fail_msg(
-					"%s: limit %g, %d instances: %.1f over",
-					what, limits[l], sizes[s], over);
-			world_free(w);
+			struct system *sys = system_new(sizes[s], limits[l],
+							(guint32)(100 * l + s));
+			double excess;
+
+			sys->senders = (int)(senders * sizes[s]);
+			simulate(sys, fault);
+			excess = worst_excess(sys);
+			if (excess > 0)
+				fail_msg("%s: limit %g, %d instances: exceeded "
+					 "by %.1f",
+					 what, limits[l], sizes[s], excess);
+			system_free(sys);
 		}
 	}
 }
 
-#define RULE_TEST(name, trouble, wanting)             \
-	static void name(void **state)                \
-	{                                             \
-		expect_rule(trouble, wanting, #name); \
+#define RULE_TEST(name, fault, senders)            \
+	static void name(void **state)             \
+	{                                          \
+		check_rule(fault, senders, #name); \
 	}
 
 RULE_TEST(test_steady, NULL, 1)
-RULE_TEST(test_quiet_spells, quiet_spells, 1)
+RULE_TEST(test_idle_periods, idle_periods, 1)
 RULE_TEST(test_kills, kills, 1)
 RULE_TEST(test_all_killed, all_killed, 1)
-RULE_TEST(test_stand_still, stands_still, 1)
-RULE_TEST(test_cuts, cuts, 1)
-RULE_TEST(test_held_up, held_up, 1)
-RULE_TEST(test_moves, moves, 1)
-RULE_TEST(test_all_kinds, all_kinds, 1)
-
-/* Most give up what they may send, for those that have callers. */
-RULE_TEST(test_given_up, NULL, 0.3)
-RULE_TEST(test_given_up_in_quiet_spells, quiet_spells, 0.3)
-RULE_TEST(test_given_up_under_kills, kills, 0.3)
-RULE_TEST(test_given_up_in_cuts, cuts, 0.3)
-RULE_TEST(test_all_given_up, moves, 0)
-
-/* What the limit allows is used where all want it. */
-static void test_it_is_used(void **state)
+RULE_TEST(test_hangs, hangs, 1)
+RULE_TEST(test_partitions, partitions, 1)
+RULE_TEST(test_delays, delays, 1)
+RULE_TEST(test_replacements, replacements, 1)
+RULE_TEST(test_all_faults, all_faults, 1)
+
+/* Most instances lend their sends to those with callers. */
+RULE_TEST(test_lent, NULL, 0.3)
+RULE_TEST(test_lent_in_idle_periods, idle_periods, 0.3)
+RULE_TEST(test_lent_under_kills, kills, 0.3)
+RULE_TEST(test_lent_in_partitions, partitions, 0.3)
+RULE_TEST(test_all_lent, replacements, 0)
+
+/* With all instances sending, at least 85% of the limit is used, less one. */
+static void test_utilization(void **state)
 {
 	static const double some[] = {0.5, 1, 2, 5.1, 25, 120};
 
 	for (size_t l = 0; l < G_N_ELEMENTS(some); l++) {
 		for (size_t s = 0; s < G_N_ELEMENTS(sizes); s++) {
-			struct world *w = world_of(sizes[s], some[l], 7);
-			double wanted = some[l] * DAY_MS / 1000;
+			struct system *sys = system_new(sizes[s], some[l], 7);
+			double wanted = some[l] * RUN_MS / 1000;
 
-			play(w, NULL);
-			if ((double)w->sum < 0.85 * wanted - 1)
+			simulate(sys, NULL);
+			if ((double)sys->sum < 0.85 * wanted - 1)
 				fail_msg("limit %g, %d instances: %d of %.0f",
-					 some[l], sizes[s], (int)w->sum,
+					 some[l], sizes[s], (int)sys->sum,
 					 wanted);
-			world_free(w);
+			system_free(sys);
 		}
 	}
 }
 
-/* Nobody known: nothing is held. */
-static void test_unknown(void **state)
+/* Without known instances there is no quota. */
+static void test_no_instances_known(void **state)
 {
 	struct limit_instances none = {NULL, 0};
 
@@ -416,21 +439,21 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_steady),
-		cmocka_unit_test(test_quiet_spells),
+		cmocka_unit_test(test_idle_periods),
 		cmocka_unit_test(test_kills),
 		cmocka_unit_test(test_all_killed),
-		cmocka_unit_test(test_stand_still),
-		cmocka_unit_test(test_cuts),
-		cmocka_unit_test(test_held_up),
-		cmocka_unit_test(test_moves),
-		cmocka_unit_test(test_all_kinds),
-		cmocka_unit_test(test_given_up),
-		cmocka_unit_test(test_given_up_in_quiet_spells),
-		cmocka_unit_test(test_given_up_under_kills),
-		cmocka_unit_test(test_given_up_in_cuts),
-		cmocka_unit_test(test_all_given_up),
-		cmocka_unit_test(test_it_is_used),
-		cmocka_unit_test(test_unknown),
+		cmocka_unit_test(test_hangs),
+		cmocka_unit_test(test_partitions),
+		cmocka_unit_test(test_delays),
+		cmocka_unit_test(test_replacements),
+		cmocka_unit_test(test_all_faults),
+		cmocka_unit_test(test_lent),
+		cmocka_unit_test(test_lent_in_idle_periods),
+		cmocka_unit_test(test_lent_under_kills),
+		cmocka_unit_test(test_lent_in_partitions),
+		cmocka_unit_test(test_all_lent),
+		cmocka_unit_test(test_utilization),
+		cmocka_unit_test(test_no_instances_known),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_limit_want.c
+++ b/tests/test_limit_want.c
@@ -1,32 +1,32 @@
-/* Tests of core/limit_borrow: when peers are asked for a send, and what counts. */
+/* Tests of core/limit_borrow: when peers are asked, and which grants count. */
 #include "tests/unit.h"
 
 #include "core/limit_want.h"
 
-/* One question at a time; after a few in vain they come less and less often. */
-static void test_pauses(void **state)
+/* One request at a time; after a few without a grant the delay doubles. */
+static void test_backoff(void **state)
 {
 	struct limit_borrow w = {0};
-	int64_t now = 1000, before = 0;
-	int64_t pauses[12];
+	int64_t now = 1000, last = 0;
+	int64_t delays[12];
 
 	for (int i = 0; i < 12; i++) {
 		while (!limit_borrow_is_due(&w, now))
 			now++;
-		pauses[i] = now - before;
-		before = now;
+		delays[i] = now - last;
+		last = now;
 		limit_borrow_request(&w, now);
 		assert_false(limit_borrow_is_due(&w, now));
 		assert_int_equal(limit_borrow_deadline_ms(&w), now + 20);
 	}
-	assert_int_equal(pauses[1], 20);
-	assert_int_equal(pauses[3], 20);
-	assert_int_equal(pauses[4], 40);
-	assert_int_equal(pauses[5], 80);
-	assert_int_equal(pauses[11], 2000);
+	assert_int_equal(delays[1], 20);
+	assert_int_equal(delays[3], 20);
+	assert_int_equal(delays[4], 40);
+	assert_int_equal(delays[5], 80);
+	assert_int_equal(delays[11], 2000);
 }
 
-/* What comes in answer to the last question counts; then one may ask again soon. */
+/* A grant for the last request counts, and the next request is due soon. */
 static void test_grants(void **state)
 {
 	struct limit_borrow w = {0};
@@ -43,7 +43,7 @@
 	assert_int_equal(limit_grant_expiry_ms(22010), 22210);
 }
 
-/* One that was read long after it was asked for is of another time. */
+/* A grant for a request of long ago is ignored. */
 static void test_late_grant(void **state)
 {
 	struct limit_borrow w = {0};
@@ -56,7 +56,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_pauses),
+		cmocka_unit_test(test_backoff),
 		cmocka_unit_test(test_grants),
 		cmocka_unit_test(test_late_grant),
 	};
--- a/tests/test_quarantine.c
+++ b/tests/test_quarantine.c
@@ -1,8 +1,9 @@
-/* Tests of core/quarantine: verdicts in force, trials, answers of late. */
+/* Tests of core/quarantine: verdicts in force, trials, recent answers. */
 #include "tests/unit.h"
 
 #include "core/quarantine.h"
 
+/* Sets a verdict. */
 static void set(struct quarantine *q, uint64_t digest, enum verdict_kind kind,
 		int64_t until_ms)
 {
@@ -11,6 +12,7 @@
 	quarantine_set(q, &v);
 }
 
+/* A verdict applies to its request until it is replaced. */
 static void test_verdicts(void **state)
 {
 	static struct quarantine q;
@@ -22,13 +24,14 @@
 	set(&q, 5, VERDICT_REFUSE, 61000);
 	assert_int_equal(quarantine_kind(&q, 5), VERDICT_REFUSE);
 	assert_true(quarantine_left_s(&q, 5, 1000) == 60);
-	/* Until the next word it stays refused, with nothing to promise. */
+	/* After the period it stays refused until the verdict changes. */
 	assert_true(quarantine_left_s(&q, 5, 70000) == 0);
 	assert_int_equal(quarantine_kind(&q, 6), VERDICT_CLEAR);
 	set(&q, 5, VERDICT_CLEAR, 0);
 	assert_int_equal(quarantine_kind(&q, 5), VERDICT_CLEAR);
 }
 
+/* One copy is granted per trial. */
 static void test_trial(void **state)
 {
 	static struct quarantine q;
@@ -43,7 +46,8 @@
 	assert_int_equal(quarantine_kind(&q, 5), VERDICT_REFUSE);
 }
 
-static void test_forgives(void **state)
+/* A recent answer excuses one crash. */
+static void test_recent_answer(void **state)
 {
 	static struct quarantine q;
 
@@ -54,7 +58,7 @@
 	assert_false(quarantine_take_answer(&q, 5 + ANSWERED_SLOTS));
 	assert_true(quarantine_take_answer(&q, 5));
 	assert_false(quarantine_take_answer(&q, 5));
-	/* Answers to others push it out. */
+	/* A later answer to another request may overwrite it. */
 	quarantine_note_answer(&q, 5);
 	quarantine_note_answer(&q, 5 + ANSWERED_SLOTS);
 	assert_false(quarantine_take_answer(&q, 5));
@@ -65,7 +69,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_verdicts),
 		cmocka_unit_test(test_trial),
-		cmocka_unit_test(test_forgives),
+		cmocka_unit_test(test_recent_answer),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
