--- a/core/limit_room.c
+++ b/core/limit_capacity.c
@@ -1,7 +1,7 @@
 #include <math.h>
 
 #include "core/availability.h"
-#include "core/limit_room.h"
+#include "core/limit_capacity.h"
 
 /* Adds this instance's quota of one server. */
 static void add(struct limit_capacity *c, struct backend_limit *l,
--- a/core/limit_room.h
+++ b/core/limit_capacity.h
@@ -3,8 +3,8 @@
  * then the service's capacity, and the wait of a request is known without
  * learning from latency.
  */
-#ifndef MP_CORE_LIMIT_ROOM_H
-#define MP_CORE_LIMIT_ROOM_H
+#ifndef MP_CORE_LIMIT_CAPACITY_H
+#define MP_CORE_LIMIT_CAPACITY_H
 
 #include "core/backend.h"
 
--- a/core/retry_after.h
+++ b/core/retry_after.h
@@ -6,7 +6,7 @@
 #define MP_CORE_RETRY_AFTER_H
 
 #include "core/admit.h"
-#include "core/limit_room.h"
+#include "core/limit_capacity.h"
 
 enum { RETRY_AFTER_NO_TARGET_MS = 1000 };
 
--- a/traffic/request_wait.c
+++ b/traffic/request_wait.c
@@ -1,7 +1,7 @@
 #include "common/event.h"
 #include "core/availability.h"
 #include "core/hedge.h"
-#include "core/limit_room.h"
+#include "core/limit_capacity.h"
 #include "core/mechanisms.h"
 #include "misc/clock.h"
 #include "traffic/ask.h"
