--- a/core/crash_ledger.c
+++ b/core/crash_ledger.c
@@ -5,9 +5,9 @@
 enum {
 	/*
 	 * Crashes of different servers that lead to quarantine. One or two can
-	 * happen to any request that is executed beside the cause: of 46 that
-	 * were at crashed servers 9 were at two of them, as their retries went
-	 * to the same servers as the cause's.
+	 * happen to any request that is executed alongside the cause: of 46
+	 * that were at crashed servers 9 were at two of them, as their retries
+	 * went to the same servers as the cause's.
 	 */
 	CRASHES_MIN = 3,
 	/*
@@ -36,7 +36,9 @@
 	CASES_MAX = 512,
 };
 
-/* Initializes an empty tracker; `changed` is called on each change of a case. */
+/*
+ * Initializes an empty tracker; `changed` is called on each change of a case.
+ */
 void crash_tracker_init(struct crash_tracker *t,
 			void (*changed)(void *priv, const struct crash_case *c,
 					enum crash_change what, int64_t now_ms),
@@ -210,7 +212,7 @@
 	return ms < PERIOD_MAX_MS ? ms : PERIOD_MAX_MS;
 }
 
-/* Quarantines a request and clears the others that were beside it. */
+/* Quarantines a request and clears others of the crashes that it explains. */
 static void quarantine(struct crash_tracker *t, struct crash_case *c,
 		       unsigned periods, int64_t now_ms)
 {
--- a/core/crash_ledger.h
+++ b/core/crash_ledger.h
@@ -4,12 +4,12 @@
  * is known of it is kept by its digest, and is the same on all instances once
  * they have exchanged it.
  *
- * Most requests that were at a server when it crashed were only executed beside
- * the cause, so one crash proves nothing. A request is quarantined, that is
- * refused by all instances, after crashes of three different servers, unless
- * another request was at all of these too. The crashes are then no longer held
- * against other requests. An answer clears a request at any time. There is no
- * I/O here, and the time is an argument.
+ * Most requests that were at a server when it crashed were only executed
+ * alongside the cause, so one crash proves nothing. A request is quarantined,
+ * that is refused by all instances, after crashes of three different servers,
+ * unless another request was at all of these too. The crashes are then no
+ * longer held against other requests. An answer clears a request at any time.
+ * There is no I/O here, and the time is an argument.
  */
 #ifndef MP_CORE_CRASH_LEDGER_H
 #define MP_CORE_CRASH_LEDGER_H
--- a/core/dedup.c
+++ b/core/dedup.c
@@ -74,9 +74,9 @@
 }
 
 /*
- * Records the outcome of a run that dedup_begin() allowed. CALL_NOT_RUN releases
- * the key, CALL_DONE keeps the answer for duplicates. CALL_UNKNOWN keeps the key
- * as well, since a repetition could run the action twice.
+ * Records the outcome of a run that dedup_begin() allowed. CALL_NOT_RUN
+ * releases the key, CALL_DONE keeps the answer for duplicates. CALL_UNKNOWN
+ * keeps the key as well, since a repetition could run the action twice.
  */
 void dedup_end(struct dedup *d, const char *service, const char *key,
 	       enum call_outcome outcome, const char *body)
--- a/core/limit_share.c
+++ b/core/limit_share.c
@@ -78,8 +78,8 @@
 }
 
 /*
- * Returns this instance's quota of a server's limit. The server is identified by
- * a number that is the same on all instances.
+ * Returns this instance's quota of a server's limit. The server is identified
+ * by a number that is the same on all instances.
  */
 struct limit_quota limit_quota(double per_s, uint32_t server,
 			       const struct limit_instances *s)
@@ -100,8 +100,8 @@
 }
 
 /*
- * Initializes a share without a quota. `full`: this process has run since before
- * the limit began, so its bucket is full when it gets a quota.
+ * Initializes a share without a quota. `full`: this process has run since
+ * before the limit began, so its bucket is full when it gets a quota.
  */
 void limit_share_init(struct limit_share *s, bool full, int64_t now_ms)
 {
--- a/core/limit_share.h
+++ b/core/limit_share.h
@@ -1,15 +1,15 @@
 /*
- * This instance's share of a backend server's limit. All instances together keep
- * to the rule that in any 4 s the server gets at most 1.5 times what its limit
- * of L requests per second allows, plus 5:
+ * This instance's share of a backend server's limit. All instances together
+ * keep to the rule that in any 4 s the server gets at most 1.5 times what its
+ * limit of L requests per second allows, plus 5:
  *     6 L + 5.
  * Instances neither count each other's sends nor coordinate them.
  *
  * The limit is divided among K instances, its holders. They are the first in an
- * order specific to the server (rendezvous hashing): all instances that know the
- * same instances agree on them, and different servers have different ones. Each
- * holder has a token bucket that refills at L / K per second, and whose depth is
- * a part of the rule's slack:
+ * order specific to the server (rendezvous hashing): all instances that know
+ * the same instances agree on them, and different servers have different ones.
+ * Each holder has a token bucket that refills at L / K per second, and whose
+ * depth is a part of the rule's slack:
  *     S = floor(1.5 L + 3),  K = min(instances, S, 4 L),  depth = S / K
  * With a depth of less than one request nothing would ever be sent. In 4 s all
  * holders together send at most what was saved and refilled, S + 4 L <= 5.5 L +
@@ -24,13 +24,13 @@
  * that is how soon an instance learns that it has ended.
  *
  * peers_sharers() tells which instances there are. An instance that counts too
- * many of them takes less, which is safe. One that is silent keeps its share, as
- * it may be cut off and still serve; what it doesn't use is lost.
+ * many of them takes less, which is safe. One that is silent keeps its share,
+ * as it may be cut off and still serve; what it doesn't use is lost.
  *
- * A send may reach the server at any time until it has ended, if a link is slow.
- * So each holder also keeps to its part of the rule, (6 L + 5) / K, in the window
- * that ends now, in which a send counts until it has ended and for one window
- * after that.
+ * A send may reach the server at any time until it has ended, if a link is
+ * slow. So each holder also keeps to its part of the rule, (6 L + 5) / K, in
+ * the window that ends now, in which a send counts until it has ended and for
+ * one window after that.
  */
 #ifndef MP_CORE_LIMIT_SHARE_H
 #define MP_CORE_LIMIT_SHARE_H
--- a/core/limit_want.c
+++ b/core/limit_want.c
@@ -3,7 +3,9 @@
 enum {
 	/* Grants arrive within this time or not at all. */
 	GRANT_WAIT_MS = 20,
-	/* Failures that happen by chance; each further one doubles the delay. */
+	/*
+	 * Failures that happen by chance; each further one doubles the delay.
+	 */
 	FREE_FAILURES = 3,
 	BACKOFF_MAX_MS = 2000,
 	/* Oldest request that may still be granted. */
--- a/core/limit_want.h
+++ b/core/limit_want.h
@@ -27,7 +27,9 @@
 struct limit_borrow_msg {
 	bool grant;
 	uint32_t from, to; /* peer_id(); request to 0: any peer */
-	/* Of a request the service's hash, of a grant the server's start hash. */
+	/*
+	 * Of a request the service's hash, of a grant the server's start hash.
+	 */
 	uint32_t resource;
 	uint32_t serial; /* of the request */
 };
--- a/core/server_limit.c
+++ b/core/server_limit.c
@@ -102,9 +102,9 @@
 }
 
 /*
- * Returns whether no instance has had a response from the server for longer than
- * its limit explains. The holders of the limit then have no callers or are gone,
- * and wouldn't learn of its end.
+ * Returns whether no instance has had a response from the server for longer
+ * than its limit explains. The holders of the limit then have no callers or are
+ * gone, and wouldn't learn of its end.
  */
 bool server_limit_is_stale(const struct server_limit *l, int64_t now_ms)
 {
--- a/tests/test_budget.c
+++ b/tests/test_budget.c
@@ -10,8 +10,9 @@
  *   previous process had spent was forgotten (restart of one instance every
  *   0.8 s: 471 sends by 27 lifetimes, 13 of them begun in the window, where 449
  *   were allowed);
- * - an instance cut off from the others divided the slack by too few (five of 16
- *   cut off: 447 sends by lifetimes that divided by 5 to 16, one over the limit);
+ * - an instance cut off from the others divided the slack by too few (five of
+ *   16 cut off: 447 sends by lifetimes that divided by 5 to 16, one over the
+ *   limit);
  * - when callers moved, the old instance had spent what they had earned before
  *   the window, and the new one what they earned in it.
  * Without restarts and partitions the worst window was 38 below the limit.
@@ -312,7 +313,9 @@
 	assert_false(budget_allows(&b, &params, t0 + 10 * WINDOW_MS));
 }
 
-/* A send in flight counts until it ends: it may reach its server at any time. */
+/*
+ * A send in flight counts until it ends: it may reach its server at any time.
+ */
 static void test_in_flight_counts(void **state)
 {
 	struct budget_params params = {.ratio = 3, .window_ms = WINDOW_MS};
--- a/tests/test_crash_ledger.c
+++ b/tests/test_crash_ledger.c
@@ -1,5 +1,5 @@
 /*
- * Tests of core/crash_tracker: which requests are quarantined after crashes of
+ * Tests of core/crash_ledger: which requests are quarantined after crashes of
  * servers, which are not, and how a quarantine ends.
  */
 #include "tests/unit.h"
@@ -12,7 +12,8 @@
 
 /*
  * Fraction of lost reports. Each is sent in four datagrams, so one in a million
- * is lost on a link that loses 3 in 100; an instance may also be cut off or stop.
+ * is lost on a link that loses 3 in 100; an instance may also be cut off or
+ * stop.
  */
 enum { LOST_ONE_IN = 300 };
 
@@ -47,8 +48,8 @@
 }
 
 /*
- * Reports crashes of the servers from..to under one request, one per second from
- * `now` on. Returns the time after the last.
+ * Reports crashes of the servers from..to under one request, one per second
+ * from `now` on. Returns the time after the last.
  */
 static int64_t crash_under(struct crash_tracker *l, uint64_t digest,
 			   uint32_t from, uint32_t to, int64_t now)
@@ -251,10 +252,10 @@
 
 /*
  * Simulates a series of crashes as observed: at each crash one to four other
- * requests are at the server, one in five of which is at the next crash as well;
- * a request is sent at most six times. Some reports are lost. Returns the number
- * of crashes until the quarantine, and adds wrongly quarantined requests to
- * *wrong.
+ * requests are at the server, one in five of which is at the next crash as
+ * well; a request is sent at most six times. Some reports are lost. Returns the
+ * number of crashes until the quarantine, and adds wrongly quarantined requests
+ * to *wrong.
  */
 static unsigned simulate_series(GRand *rand, unsigned *wrong)
 {
--- a/tests/test_limit_capacity.c
+++ b/tests/test_limit_capacity.c
@@ -1,6 +1,6 @@
 /*
- * Tests of core/limit_capacity and of the Retry-After times that follow from it:
- * the capacity of a service whose servers all have limits.
+ * Tests of core/limit_capacity and of the Retry-After times that follow from
+ * it: the capacity of a service whose servers all have limits.
  */
 #include "tests/unit.h"
 
--- a/tests/test_limit_share.c
+++ b/tests/test_limit_share.c
@@ -1,16 +1,17 @@
 /*
- * Tests of core/limit_share: what all instances together send to a server with a
- * limit.
+ * Tests of core/limit_share: what all instances together send to a server with
+ * a limit.
  *
  * Guards against 36 requests in 4 s to a server with a limit of 5.1 per second,
  * where the rule allows 1.5 times what the limit does plus 5, that is 35: the
  * limit was ignored. A bucket of one request at every instance would exceed it
- * as well: after an idle period 16 instances send 36, and 100 send 122 (computed,
- * not run).
+ * as well: after an idle period 16 instances send 36, and 100 send 122
+ * (computed, not run).
  *
  * Simulates any number of instances on one clock, each of which sends whenever
  * it may. Instances are killed, restart, hang, are cut off, leave and join, and
- * sends are delayed on the way to the server. The rule is checked in all windows.
+ * sends are delayed on the way to the server. The rule is checked in all
+ * windows.
  */
 #include "tests/unit.h"
 
@@ -361,8 +362,8 @@
 static const int sizes[] = {1, 2, 3, 16, 64, 300};
 
 /*
- * Checks the rule for all limits and system sizes under a fault; `senders` is the
- * fraction of instances with callers.
+ * Checks the rule for all limits and system sizes under a fault; `senders` is
+ * the fraction of instances with callers.
  */
 static void check_rule(fault_fn fault, double senders, const char *what)
 {
--- a/tests/test_limit_want.c
+++ b/tests/test_limit_want.c
@@ -1,4 +1,4 @@
-/* Tests of core/limit_borrow: when peers are asked, and which grants count. */
+/* Tests of core/limit_want: when peers are asked, and which grants count. */
 #include "tests/unit.h"
 
 #include "core/limit_want.h"
