--- a/core/ask_budget.c
+++ b/core/ask_budget.c
@@ -12,9 +12,9 @@
 
 /*
  * Returns the largest debt that is allowed now. It grows with the age of the
- * process: a new process knows nothing of its predecessor's debt, so without
- * this bound the debts of instances that are killed again and again would add
- * up to more than the rate.
+ * process, so that none takes more than the rate allows in its own lifetime: a
+ * new process doesn't know its predecessor's debt, and the debts of instances
+ * that are killed again and again would otherwise add up.
  */
 static double max_debt(const struct probe_budget *b, double full_rate,
 		       int64_t now_ms)
--- a/core/config.h
+++ b/core/config.h
@@ -39,7 +39,7 @@
 	struct lstr name;
 	const struct place_policy *policy; /* NULL: default */
 	struct lstr health_path;
-	unsigned max_connections; /* a backend server takes from all callers */
+	unsigned max_connections; /* per backend server, from all clients */
 };
 
 struct config_limits {
--- a/core/limit_share.h
+++ b/core/limit_share.h
@@ -47,7 +47,7 @@
 struct limit_quota {
 	bool held;
 	double rate_s;		/* refill, requests per second */
-	double depth;		/* depth of the bucket */
+	double depth;		/* requests that the bucket holds */
 	unsigned max_in_window; /* sends, those in flight included */
 };
 
--- a/tests/test_crash_ledger.c
+++ b/tests/test_crash_ledger.c
@@ -261,7 +261,7 @@
 {
 	struct crash_tracker l;
 	struct changes h;
-	uint64_t beside[4] = {0}, next_id = 100;
+	uint64_t others[4] = {0}, next_id = 100;
 	unsigned sends[4] = {0}, crashes = 0;
 
 	begin(&l, &h);
@@ -270,16 +270,16 @@
 		unsigned n = (unsigned)g_rand_int_range(rand, 1, 5);
 
 		for (unsigned i = 0; i < n; i++) {
-			bool again = beside[i] && sends[i] < 6 &&
+			bool again = others[i] && sends[i] < 6 &&
 				     g_rand_int_range(rand, 0, 5) == 0;
 
 			if (!again) {
-				beside[i] = next_id++;
+				others[i] = next_id++;
 				sends[i] = 0;
 			}
 			sends[i]++;
 			if (g_rand_int_range(rand, 0, LOST_ONE_IN))
-				crash_tracker_add_crash(&l, beside[i], crashes,
+				crash_tracker_add_crash(&l, others[i], crashes,
 							now);
 		}
 		if (g_rand_int_range(rand, 0, LOST_ONE_IN))
