--- a/control/control.c
+++ b/control/control.c
@@ -185,7 +185,7 @@
 	return a->instances == b->instances &&
 	       arrays_equal(a->named, b->named, sizeof(struct peer_brief)) &&
 	       arrays_equal(a->sharers, b->sharers,
-			    sizeof(struct limit_sharer));
+			    sizeof(struct limit_instance));
 }
 
 static void clear_view(struct peer_view *v)
@@ -202,7 +202,7 @@
 	bool known = c->record.listed || now_ms - c->started_ms > DISCOVERY_MS;
 
 	if (!known)
-		return g_array_new(FALSE, FALSE, sizeof(struct limit_sharer));
+		return g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
 	return peers_sharers(&c->peers.peers,
 			     (uint32_t)(c->settings.bounds.grace_s * 1000),
 			     now_ms);
--- a/control/control.h
+++ b/control/control.h
@@ -27,27 +27,28 @@
 	TO_TRAFFIC_LOAD = 5,	   /* struct peer_load * */
 	TO_TRAFFIC_STOP = 4,	   /* no data: graceful stop */
 	TO_TRAFFIC_VERDICT = 7,	   /* struct verdict * */
-	TO_TRAFFIC_LIMITS = 8,	   /* struct limit_news * */
-	TO_TRAFFIC_LIMIT_CALL = 9, /* struct limit_call * */
-	TO_TRAFFIC_DRAIN = 10,	   /* struct drain_news * */
+	TO_TRAFFIC_LIMITS = 8,	   /* struct limit_gossip * */
+	TO_TRAFFIC_LIMIT_CALL = 9, /* struct limit_borrow_msg * */
+	TO_TRAFFIC_DRAIN = 10,	   /* struct drain_gossip * */
 	TO_TRAFFIC_BOUNDS = 6,	   /* struct bounds *, of changed settings */
 };
 
 /* Messages from the traffic thread; the receiver owns the data. */
 enum from_traffic {
-	FROM_TRAFFIC_STOPPED = 1,    /* no data: all requests are done */
-	FROM_TRAFFIC_CRASH = 3,	     /* struct crash_news * */
-	FROM_TRAFFIC_LOAD = 2,	     /* struct peer_load *, sender not set */
-	FROM_TRAFFIC_LIMITS = 4,     /* struct limit_news *, sender not set */
-	FROM_TRAFFIC_DRAIN = 6,	     /* struct drain_news *, sender not set */
-	FROM_TRAFFIC_LIMIT_CALL = 5, /* struct limit_call *, `from` not set */
+	FROM_TRAFFIC_STOPPED = 1, /* no data: all requests are done */
+	FROM_TRAFFIC_CRASH = 3,	  /* struct crash_news * */
+	FROM_TRAFFIC_LOAD = 2,	  /* struct peer_load *, sender not set */
+	FROM_TRAFFIC_LIMITS = 4,  /* struct limit_gossip *, sender not set */
+	FROM_TRAFFIC_DRAIN = 6,	  /* struct drain_gossip *, sender not set */
+	FROM_TRAFFIC_LIMIT_CALL =
+		5, /* struct limit_borrow_msg *, `from` not set */
 };
 
 /* What the traffic thread needs to know of the peers. */
 struct peer_view {
 	unsigned instances; /* number that share the system's limits */
 	GArray *named; /* struct peer_brief, instances that callers may use */
-	/* struct limit_sharer, see peers_sharers(); empty until known */
+	/* struct limit_instance, see peers_sharers(); empty until known */
 	GArray *sharers;
 };
 
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -44,7 +44,7 @@
 			       VERDICT_REFUSE},
 	[CRASH_TRIAL] = {"trial", EV_CRASH_TRIAL, VERDICT_TRIAL},
 	[CRASH_RELEASED] = {"released", EV_CRASH_RELEASED, VERDICT_CLEAR},
-	[CRASH_FORGOTTEN] = {"forgotten", EV_CRASH_RELEASED, VERDICT_CLEAR},
+	[CRASH_EXPIRED] = {"forgotten", EV_CRASH_RELEASED, VERDICT_CLEAR},
 };
 
 static void log_change(const struct crash_watch *w, const struct crash_case *c,
@@ -55,8 +55,8 @@
 		 "last_end_ago_ms=%" G_GINT64_FORMAT
 		 " next_in_ms=%" G_GINT64_FORMAT " cases=%u",
 		 c->digest, change_info[change].name,
-		 w->source ? w->source : "-", c->nends, c->terms,
-		 now_ms - c->last_end_ms, c->due_ms ? c->due_ms - now_ms : 0,
+		 w->source ? w->source : "-", c->nservers, c->periods,
+		 now_ms - c->last_crash_ms, c->due_ms ? c->due_ms - now_ms : 0,
 		 g_hash_table_size(w->ledger.cases));
 }
 
@@ -147,7 +147,7 @@
 /* Sets the timer to the next decision or broadcast. */
 static void arm(struct crash_watch *w, int64_t now_ms)
 {
-	int64_t due = decides(w) ? crash_ledger_due_ms(&w->ledger) : 0;
+	int64_t due = decides(w) ? crash_tracker_due_ms(&w->ledger) : 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
 		int64_t next = g_array_index(w->broadcasts, struct broadcast, i)
@@ -168,7 +168,7 @@
 	int64_t now_ms = clock_ms();
 
 	if (decides(w))
-		crash_ledger_judge(&w->ledger, now_ms);
+		crash_tracker_decide(&w->ledger, now_ms);
 	send_due(w, true, now_ms);
 	send_due(w, false, now_ms);
 	schedule_repeats(w, now_ms);
@@ -212,7 +212,8 @@
 
 static struct crash_news verdict_news(const struct crash_case *c)
 {
-	return (struct crash_news){CRASH_NEWS_QUARANTINE, c->digest, c->terms};
+	return (struct crash_news){CRASH_NEWS_QUARANTINE, c->digest,
+				   c->periods};
 }
 
 /*
@@ -224,7 +225,7 @@
 {
 	struct crash_news news = verdict_news(c);
 
-	if (c->terms > 1 || w->rank >= HUBS)
+	if (c->periods > 1 || w->rank >= HUBS)
 		return;
 	if (!w->from_store)
 		crash_record_put(&w->record, &news);
@@ -259,7 +260,7 @@
 	send_verdict(w, c, change);
 	if (change == CRASH_QUARANTINED)
 		announce(w, c);
-	else if (change == CRASH_RELEASED || change == CRASH_FORGOTTEN)
+	else if (change == CRASH_RELEASED || change == CRASH_EXPIRED)
 		drop_record(w, c, change);
 }
 
@@ -268,7 +269,7 @@
 			 int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_ledger_find(&w->ledger, news->digest);
+		crash_tracker_find(&w->ledger, news->digest);
 	bool verdict = c && c->quarantined;
 
 	if (!c)
@@ -280,7 +281,7 @@
 	if (!w->source || (verdict && w->large && w->rank < HUBS))
 		add_broadcast(w, news,
 			      verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
-	crash_ledger_answered(&w->ledger, news->digest, now_ms);
+	crash_tracker_add_answer(&w->ledger, news->digest, now_ms);
 }
 
 /* An instance that reports another end doesn't know the verdict yet. */
@@ -288,7 +289,7 @@
 		      int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_ledger_find(&w->ledger, news->digest);
+		crash_tracker_find(&w->ledger, news->digest);
 	struct crash_news verdict;
 
 	if (c && c->quarantined && w->source && w->rank < HUBS) {
@@ -297,7 +298,7 @@
 	}
 	if (!w->source)
 		add_broadcast(w, news, EVIDENCE_SENDS);
-	crash_ledger_end(&w->ledger, news->digest, news->detail, now_ms);
+	crash_tracker_add_crash(&w->ledger, news->digest, news->detail, now_ms);
 }
 
 /* Applies one item of news to the ledger. */
@@ -313,8 +314,8 @@
 		apply_answer(w, news, now_ms);
 		break;
 	case CRASH_NEWS_QUARANTINE:
-		crash_ledger_quarantine(&w->ledger, news->digest, news->detail,
-					now_ms);
+		crash_tracker_quarantine(&w->ledger, news->digest, news->detail,
+					 now_ms);
 		break;
 	}
 	arm(w, now_ms);
@@ -392,7 +393,7 @@
 	if (w->joins != w->channel->joins && rank < HUBS)
 		broadcast_verdicts(w);
 	w->joins = w->channel->joins;
-	crash_ledger_tick(&w->ledger, rank == 0, clock_ms());
+	crash_tracker_tick(&w->ledger, rank == 0, clock_ms());
 	/*
 	 * The rank may have changed, and with it whether this instance decides.
 	 */
@@ -415,7 +416,7 @@
 	w->verdict = verdict;
 	w->priv = priv;
 	w->broadcasts = g_array_new(FALSE, FALSE, sizeof(struct broadcast));
-	crash_ledger_init(&w->ledger, on_change, w);
+	crash_tracker_init(&w->ledger, on_change, w);
 	crash_record_start(&w->record, loop, store, &channel->peers.self);
 	ev_init(&w->due, on_due);
 	w->due.data = w;
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -99,7 +99,7 @@
  * to the named peer, if it is alive, and to another one.
  */
 void peer_channel_send_limit_call(struct peer_channel *ch,
-				  struct limit_call *call, int64_t now_ms)
+				  struct limit_borrow_msg *call, int64_t now_ms)
 {
 	const struct peer *named = hubs_find(&ch->peers, call->to);
 	const struct peer *other = call->grant ? NULL : random_live(ch, now_ms);
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -39,7 +39,8 @@
 void peer_channel_send_hubs(struct peer_channel *ch, const struct buf *b,
 			    int64_t now_ms);
 void peer_channel_send_limit_call(struct peer_channel *ch,
-				  struct limit_call *call, int64_t now_ms);
+				  struct limit_borrow_msg *call,
+				  int64_t now_ms);
 void peer_channel_heartbeat_live(struct peer_channel *ch, int64_t now_ms);
 void peer_channel_heartbeat_all(struct peer_channel *ch, int64_t now_ms);
 
--- a/core/ask_budget.h
+++ b/core/ask_budget.h
@@ -1,28 +1,28 @@
 /*
- * How many questions for load one instance may ask the backend servers. All
- * instances together keep to a rate a server, also on the busiest moments: a
- * token bucket on each instance holds its part.
+ * Rate limit of the load probes that one instance sends to backend servers. A
+ * token bucket on each instance holds its part of a rate per server that all
+ * instances together keep to, also during load peaks.
  */
 #ifndef MP_CORE_ASK_BUDGET_H
 #define MP_CORE_ASK_BUDGET_H
 
 #include <stdint.h>
 
-struct ask_rule {
-	double per_server_s; /* questions a server and second, of all */
-	unsigned instances;  /* that share them */
+struct probe_rate {
+	double per_server_s; /* probes per server and second, all instances */
+	unsigned instances;  /* instances that share the rate */
 };
 
-struct ask_budget {
-	double tokens; /* below zero: first questions went ahead of time */
-	int64_t at_ms; /* tokens are right as of then */
-	int64_t began_ms;
+struct probe_budget {
+	double tokens;	    /* negative: first probes were sent on credit */
+	int64_t updated_ms; /* time up to which tokens were added */
+	int64_t started_ms;
 };
 
-void ask_budget_init(struct ask_budget *b, int64_t now_ms);
+void probe_budget_init(struct probe_budget *b, int64_t now_ms);
 
-unsigned ask_budget_take(struct ask_budget *b, const struct ask_rule *r,
-			 unsigned servers, unsigned want, unsigned least,
-			 int64_t now_ms);
+unsigned probe_budget_take(struct probe_budget *b, const struct probe_rate *r,
+			   unsigned servers, unsigned want, unsigned least,
+			   int64_t now_ms);
 
 #endif
