--- a/caller/own.c
+++ b/caller/own.c
@@ -104,14 +104,14 @@
 
 	buf_add_lstr(&body, LSTR("{\"entries\":["));
 	for (guint i = 0; t->peers.named && i < t->peers.named->len; i++) {
-		const struct peer_brief *p =
-			&g_array_index(t->peers.named, struct peer_brief, i);
+		const struct peer_endpoint *p =
+			&g_array_index(t->peers.named, struct peer_endpoint, i);
 
-		if (!*p->own)
+		if (!*p->own_addr)
 			continue;
 		buf_printf(&body,
 			   "%s{\"name\":\"%s\",\"addr\":\"%s\",\"dc\":\"%s\"}",
-			   first ? "" : ",", p->name, p->own, p->dc);
+			   first ? "" : ",", p->name, p->own_addr, p->dc);
 		first = false;
 	}
 	buf_printf(&body, "],\"ttl_s\":%g}", t->bounds.directory_keep_s);
--- a/control/backend_feed.c
+++ b/control/backend_feed.c
@@ -27,8 +27,9 @@
 	GHashTableIter it;
 	gpointer v;
 
-	l->listed =
-		store_position_cmp(f->listed, f->to) > 0 ? f->listed : f->to;
+	l->listed = store_position_cmp(f->listed_from, f->to) > 0
+			    ? f->listed_from
+			    : f->to;
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct listed *e = v;
@@ -48,7 +49,7 @@
 		return store_position_cmp(f->from, known) <= 0;
 	/* What of a listing was news to the feeder may be less than to others. */
 	return known.era == f->to.era &&
-	       store_position_cmp(f->listed, known) <= 0;
+	       store_position_cmp(f->listed_from, known) <= 0;
 }
 
 /*
@@ -68,8 +69,9 @@
 		return true;
 	if (!covers(f, known))
 		return false;
-	if (f->settle_ms && now_ms + f->settle_ms > l->settle_until)
-		l->settle_until = now_ms + f->settle_ms;
+	if (f->removal_delay_ms &&
+	    now_ms + f->removal_delay_ms > l->settle_until)
+		l->settle_until = now_ms + f->removal_delay_ms;
 	else
 		backend_list_note_silence(l, now_ms);
 	if (f->to.era > known.era)
@@ -98,10 +100,10 @@
 	int64_t settle = l->settle_until - now_ms;
 
 	f->from = l->recent_from;
-	f->listed = l->listed;
+	f->listed_from = l->listed;
 	f->to = l->pos;
 	f->age_ms = (uint32_t)(now_ms - l->fresh_ms);
-	f->settle_ms = settle > 0 ? (uint32_t)settle : 0;
+	f->removal_delay_ms = settle > 0 ? (uint32_t)settle : 0;
 	f->changes = l->recent;
 }
 
@@ -125,7 +127,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct listed *d = v;
 		struct backend_change c = {
-			.pos = d->pos, .doubted = true, .entry = d->entry};
+			.pos = d->pos, .unconfirmed = true, .entry = d->entry};
 
 		g_array_append_val(changes, c);
 	}
@@ -156,7 +158,7 @@
 			 int64_t tried_ms, unsigned failures)
 {
 	int64_t longest =
-		many && rank >= HUBS ? RETRY_PATIENT_MS : RETRY_MAX_MS;
+		many && rank >= HUB_COUNT ? RETRY_PATIENT_MS : RETRY_MAX_MS;
 	unsigned r = rank < RANK_MAX ? rank : RANK_MAX;
 	int64_t due =
 		fresh_ms +
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -137,7 +137,7 @@
 	d->entry = c->entry;
 	d->pos = c->pos;
 	d->seen = true;
-	told.doubted = true;
+	told.unconfirmed = true;
 	remember(l, &told, now_ms);
 	backend_list_doubt(l, d, now_ms);
 	mp_event(EV_MEMBER_DOUBTED, G_LOG_LEVEL_MESSAGE,
@@ -226,7 +226,7 @@
 		return;
 	}
 	e = g_hash_table_lookup(l->entries, c->entry.id);
-	if (c->doubted) {
+	if (c->unconfirmed) {
 		if (!e)
 			doubt_entry(l, c, now_ms);
 		return;
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -338,7 +338,8 @@
 }
 
 /* Whether a peer's version counts more than the one that is in force. */
-static bool is_newer(const struct config_watch *w, const struct config_mark *m)
+static bool is_newer(const struct config_watch *w,
+		     const struct config_progress *m)
 {
 	if (m->version != w->version)
 		return m->version > w->version;
@@ -347,7 +348,7 @@
 
 /* A newer version is in the store, unless that has come back without it. */
 static enum config_need fetch(struct config_watch *w,
-			      const struct config_mark *m, int64_t now_ms)
+			      const struct config_progress *m, int64_t now_ms)
 {
 	bool ahead = store_position_cmp(m->pos, w->pos) > 0;
 
@@ -374,7 +375,8 @@
  * way will bring.
  */
 enum config_need config_watch_heard(struct config_watch *w,
-				    const struct config_mark *m, int64_t now_ms)
+				    const struct config_progress *m,
+				    int64_t now_ms)
 {
 	if (is_newer(w, m))
 		return fetch(w, m, now_ms);
@@ -413,10 +415,10 @@
 }
 
 /* config_watch_mark() says how far this instance knows the configuration. */
-struct config_mark config_watch_mark(const struct config_watch *w,
-				     int64_t store_ms, int64_t now_ms)
+struct config_progress config_watch_mark(const struct config_watch *w,
+					 int64_t store_ms, int64_t now_ms)
 {
-	return (struct config_mark){
+	return (struct config_progress){
 		.pos = w->pos,
 		.age_ms = config_watch_age_ms(w, store_ms, now_ms),
 		.version = w->version,
--- a/control/config_watch.h
+++ b/control/config_watch.h
@@ -30,7 +30,7 @@
 	struct store_position pos; /* records before it are taken in */
 	uint64_t version;	   /* the newest usable one; 0: none */
 	uint32_t unfit_digest;	   /* of a peer's record that can't be used */
-	struct config_mark
+	struct config_progress
 		news;	   /* a peer's, that is newer than what is in force */
 	unsigned failures; /* in a row */
 	int64_t asked_ms;  /* the call under way was sent then */
@@ -59,12 +59,12 @@
 int config_watch_update(struct config_watch *w, struct lstr record,
 			struct store_position pos, int64_t told_ms);
 enum config_need config_watch_heard(struct config_watch *w,
-				    const struct config_mark *m,
+				    const struct config_progress *m,
 				    int64_t now_ms);
 bool config_watch_is_behind(const struct config_watch *w);
 void config_watch_new_era(struct config_watch *w, int64_t now_ms);
-struct config_mark config_watch_mark(const struct config_watch *w,
-				     int64_t store_ms, int64_t now_ms);
+struct config_progress config_watch_mark(const struct config_watch *w,
+					 int64_t store_ms, int64_t now_ms);
 uint32_t config_watch_age_ms(const struct config_watch *w, int64_t store_ms,
 			     int64_t now_ms);
 void config_watch_restart(struct config_watch *w);
--- a/control/control.c
+++ b/control/control.c
@@ -119,7 +119,7 @@
 {
 	struct control *c = priv;
 	int64_t now_ms = clock_ms();
-	bool many = hubs_serve(&c->peers.peers);
+	bool many = hubs_enabled(&c->peers.peers);
 	unsigned rank = peers_rank(&c->peers.peers, now_ms);
 
 	control_publish_age(c);
@@ -140,7 +140,7 @@
 	if (need == CONFIG_ASK)
 		(void)introduce_config(&c->introduce, peer, true);
 	else if (need == CONFIG_READ &&
-		 (!hubs_serve(&c->peers.peers) ||
+		 (!hubs_enabled(&c->peers.peers) ||
 		  introduce_config(&c->introduce, peer, false)))
 		config_watch_read(&c->config);
 }
@@ -159,7 +159,7 @@
 		backend_watch_feed(&c->backends, &m->feed, now_ms);
 		control_publish_age(c);
 	}
-	if (m->kind == GOSSIP_CRASH)
+	if (m->kind == GOSSIP_CRASHES)
 		crash_watch_heard(&c->crashes, m->sender.name, m->crashes);
 	fetch_config(c, &m->sender,
 		     config_watch_heard(&c->config, &m->sender.config, now_ms));
@@ -175,7 +175,7 @@
 static bool same_view(const struct peer_view *a, const struct peer_view *b)
 {
 	return a->instances == b->instances &&
-	       same_array(a->named, b->named, sizeof(struct peer_brief)) &&
+	       same_array(a->named, b->named, sizeof(struct peer_endpoint)) &&
 	       same_array(a->sharers, b->sharers, sizeof(struct limit_sharer));
 }
 
@@ -231,21 +231,21 @@
 		mp_event(EV_PEER_LOST, G_LOG_LEVEL_MESSAGE,
 			 "peer=%s dc=%s leaving=%d silent_ms=%" G_GINT64_FORMAT,
 			 p->info.name, p->info.dc, p->info.leaving,
-			 now_ms - p->heard_ms);
+			 now_ms - p->heartbeat_ms);
 }
 
 static struct start_view start_view(const struct control *c, int64_t now_ms)
 {
 	return (struct start_view){
 		.knows = c->knew,
-		.many = hubs_serve(&c->peers.peers),
+		.many = hubs_enabled(&c->peers.peers),
 		.first = c->settings.first_start,
 		.listed = c->record.listed,
 		.listed_ms = c->record.listed_ms,
-		.ready = peers_ready(&c->peers.peers, now_ms),
+		.ready = peers_count_ready(&c->peers.peers, now_ms),
 		.refused = c->introduce.refused,
 		.failures = c->record.failures,
-		.rank = peers_start_rank(&c->peers.peers, now_ms),
+		.rank = peers_startup_rank(&c->peers.peers, now_ms),
 		.since_ms = c->started_ms,
 	};
 }
@@ -269,7 +269,7 @@
 	unsigned store_failures =
 		c->config.failures + c->backends.failures + c->record.failures;
 
-	c->config.patient = start.many && rank >= HUBS;
+	c->config.patient = start.many && rank >= HUB_COUNT;
 	config_watch_tick(&c->config, reads || c->introduce.config_left,
 			  rank < CONFIG_POLLERS, now_ms);
 	backend_watch_tick(&c->backends, reads, rank, start.many, now_ms);
@@ -431,12 +431,13 @@
 	c->out = out;
 	g_strlcpy(self.name, s->name, sizeof(self.name));
 	g_strlcpy(self.dc, s->dc, sizeof(self.dc));
-	g_strlcpy(self.callers, s->callers, sizeof(self.callers));
+	g_strlcpy(self.caller_addr, s->callers, sizeof(self.caller_addr));
 	if (s->own)
-		g_strlcpy(self.own, s->own, sizeof(self.own));
-	if (getrandom(&self.boot, sizeof(self.boot), 0) != sizeof(self.boot))
+		g_strlcpy(self.own_addr, s->own, sizeof(self.own_addr));
+	if (getrandom(&self.boot_id, sizeof(self.boot_id), 0) !=
+	    sizeof(self.boot_id))
 		return -EIO;
-	self.boot >>= 1; /* fits a signed reader too */
+	self.boot_id >>= 1; /* fits a signed reader too */
 	rc = peer_channel_open(&c->peers, c->loop, s->peers, &self, on_peer, c);
 	if (rc)
 		return rc;
--- a/control/control.h
+++ b/control/control.h
@@ -36,7 +36,7 @@
 /* Messages from the traffic thread; the receiver owns the data. */
 enum from_traffic {
 	FROM_TRAFFIC_STOPPED = 1,    /* nothing: all is served */
-	FROM_TRAFFIC_CRASH = 3,	     /* struct crash_news * */
+	FROM_TRAFFIC_CRASH = 3,	     /* struct crash_notice * */
 	FROM_TRAFFIC_LOAD = 2,	     /* struct peer_load *, without a name */
 	FROM_TRAFFIC_LIMITS = 4,     /* struct limit_news *, without a name */
 	FROM_TRAFFIC_DRAIN = 6,	     /* struct drain_news *, without a name */
@@ -46,7 +46,7 @@
 /* What the traffic thread needs of the peers. */
 struct peer_view {
 	unsigned instances; /* that share the system's allowances */
-	GArray *named;	    /* struct peer_brief, those that callers may use */
+	GArray *named; /* struct peer_endpoint, those that callers may use */
 	/* struct limit_sharer, see peers_sharers(); empty: not known yet */
 	GArray *sharers;
 };
--- a/control/crash_record.c
+++ b/control/crash_record.c
@@ -9,13 +9,13 @@
 
 /* crash_record_batch() adds a verdict's record; an answered one is dropped. */
 void crash_record_batch(struct buf *batch, const struct peer_info *self,
-			const struct crash_news *news)
+			const struct crash_notice *news)
 {
 	struct buf value = {0};
 	char key[32];
 
 	g_snprintf(key, sizeof(key), "quarantine-%016" PRIx64, news->digest);
-	if (news->kind == CRASH_NEWS_QUARANTINE)
+	if (news->kind == CRASH_NOTICE_QUARANTINE)
 		gossip_write_crashes(&value, self, news, 1);
 	store_batch_add(batch, lstr0(key), buf_lstr(&value));
 	buf_free(&value);
@@ -24,7 +24,7 @@
 /* Writes the first of those that wait. */
 static void next_call(struct crash_record *r)
 {
-	const struct crash_news *news = g_queue_peek_head(&r->pending);
+	const struct crash_notice *news = g_queue_peek_head(&r->pending);
 	struct buf batch = {0};
 
 	if (!news)
@@ -73,7 +73,7 @@
 bool crash_record_waits(const struct crash_record *r, uint64_t digest)
 {
 	for (const GList *l = r->pending.head; l; l = l->next) {
-		const struct crash_news *news = l->data;
+		const struct crash_notice *news = l->data;
 
 		if (news->digest == digest)
 			return true;
@@ -82,7 +82,7 @@
 }
 
 /* crash_record_put() writes a verdict, or drops it when it was answered. */
-void crash_record_put(struct crash_record *r, const struct crash_news *news)
+void crash_record_put(struct crash_record *r, const struct crash_notice *news)
 {
 	bool idle = g_queue_is_empty(&r->pending);
 
--- a/control/crash_record.h
+++ b/control/crash_record.h
@@ -17,7 +17,7 @@
 	struct store_channel store;
 	const struct peer_info *self;
 	ev_timer retry;
-	GQueue pending; /* struct crash_news *, the first is under way */
+	GQueue pending; /* struct crash_notice *, the first is under way */
 	unsigned failures;
 };
 
@@ -25,8 +25,8 @@
 			struct store_endpoint *store,
 			const struct peer_info *self);
 void crash_record_batch(struct buf *batch, const struct peer_info *self,
-			const struct crash_news *news);
+			const struct crash_notice *news);
 bool crash_record_waits(const struct crash_record *r, uint64_t digest);
-void crash_record_put(struct crash_record *r, const struct crash_news *news);
+void crash_record_put(struct crash_record *r, const struct crash_notice *news);
 
 #endif
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -28,7 +28,7 @@
 
 /* Something to be told to the others, and how often yet. */
 struct telling {
-	struct crash_news news;
+	struct crash_notice news;
 	unsigned left;
 	int64_t next_ms;
 	int64_t gap_ms;
@@ -76,12 +76,12 @@
 /* Evidence goes to those that judge, verdicts go to all. */
 static bool is_for_all(const struct crash_watch *w, const struct telling *t)
 {
-	if (!w->many || t->news.kind == CRASH_NEWS_QUARANTINE)
+	if (!w->many || t->news.kind == CRASH_NOTICE_QUARANTINE)
 		return true;
-	return t->news.kind == CRASH_NEWS_ANSWERED && w->rank < HUBS;
+	return t->news.kind == CRASH_NOTICE_ANSWERED && w->rank < HUB_COUNT;
 }
 
-static void send_news(struct crash_watch *w, const struct crash_news *news,
+static void send_news(struct crash_watch *w, const struct crash_notice *news,
 		      unsigned n, bool to_all, int64_t now_ms)
 {
 	struct buf b = {0};
@@ -99,7 +99,7 @@
 /* Sends those that are due and go to all, or those that go to the hubs. */
 static void send_due(struct crash_watch *w, bool to_all, int64_t now_ms)
 {
-	struct crash_news news[CRASH_NEWS_MAX];
+	struct crash_notice news[CRASH_NOTICES_MAX];
 	unsigned n = 0;
 
 	for (guint i = 0; i < w->tellings->len; i++) {
@@ -109,7 +109,7 @@
 		if (t->next_ms > now_ms || is_for_all(w, t) != to_all)
 			continue;
 		news[n++] = t->news;
-		if (n < CRASH_NEWS_MAX)
+		if (n < CRASH_NOTICES_MAX)
 			continue;
 		send_news(w, news, n, to_all, now_ms);
 		n = 0;
@@ -141,7 +141,7 @@
 /* In a large system the hubs alone have all evidence. */
 static bool judges(const struct crash_watch *w)
 {
-	return !w->many || w->rank < HUBS;
+	return !w->many || w->rank < HUB_COUNT;
 }
 
 static void arm(struct crash_watch *w, int64_t now_ms)
@@ -191,7 +191,7 @@
 }
 
 /* Tells the others, now and again; sent from the loop, not from here. */
-static void tell(struct crash_watch *w, const struct crash_news *news,
+static void tell(struct crash_watch *w, const struct crash_notice *news,
 		 unsigned times)
 {
 	int64_t now_ms = clock_ms();
@@ -208,9 +208,10 @@
 	arm(w, now_ms);
 }
 
-static struct crash_news verdict_news(const struct crash_case *c)
+static struct crash_notice verdict_news(const struct crash_case *c)
 {
-	return (struct crash_news){CRASH_NEWS_QUARANTINE, c->digest, c->terms};
+	return (struct crash_notice){CRASH_NOTICE_QUARANTINE, c->digest,
+				     c->terms};
 }
 
 /*
@@ -219,9 +220,9 @@
  */
 static void announce(struct crash_watch *w, const struct crash_case *c)
 {
-	struct crash_news news = verdict_news(c);
+	struct crash_notice news = verdict_news(c);
 
-	if (c->terms > 1 || w->rank >= HUBS)
+	if (c->terms > 1 || w->rank >= HUB_COUNT)
 		return;
 	if (!w->from_store)
 		crash_record_put(&w->record, &news);
@@ -238,7 +239,7 @@
 static void drop_record(struct crash_watch *w, const struct crash_case *c,
 			enum crash_change what)
 {
-	struct crash_news news = {CRASH_NEWS_ANSWERED, c->digest, 0};
+	struct crash_notice news = {CRASH_NOTICE_ANSWERED, c->digest, 0};
 	bool own = what == CRASH_RELEASED ? !w->teller : w->rank == 0;
 
 	if (c->quarantined &&
@@ -260,7 +261,7 @@
 }
 
 /* A request that nothing is held against needs no answer told. */
-static void take_answer(struct crash_watch *w, const struct crash_news *news,
+static void take_answer(struct crash_watch *w, const struct crash_notice *news,
 			int64_t now_ms)
 {
 	const struct crash_case *c =
@@ -271,20 +272,20 @@
 		return;
 	take_back(w, news->digest);
 	/* In a large system the hubs pass on what ends a verdict of theirs. */
-	if (!w->teller || (verdict && w->many && w->rank < HUBS))
+	if (!w->teller || (verdict && w->many && w->rank < HUB_COUNT))
 		tell(w, news, verdict ? VERDICT_TELLS : EVIDENCE_TELLS);
 	crash_ledger_answered(&w->ledger, news->digest, now_ms);
 }
 
 /* One that tells of an end doesn't know the verdict yet. */
-static void take_end(struct crash_watch *w, const struct crash_news *news,
+static void take_end(struct crash_watch *w, const struct crash_notice *news,
 		     int64_t now_ms)
 {
 	const struct crash_case *c =
 		crash_ledger_find(&w->ledger, news->digest);
-	struct crash_news verdict;
+	struct crash_notice verdict;
 
-	if (c && c->quarantined && w->teller && w->rank < HUBS) {
+	if (c && c->quarantined && w->teller && w->rank < HUB_COUNT) {
 		verdict = verdict_news(c);
 		tell(w, &verdict, 1);
 	}
@@ -293,18 +294,18 @@
 	crash_ledger_end(&w->ledger, news->digest, news->detail, now_ms);
 }
 
-static void take(struct crash_watch *w, const struct crash_news *news)
+static void take(struct crash_watch *w, const struct crash_notice *news)
 {
 	int64_t now_ms = clock_ms();
 
 	switch (news->kind) {
-	case CRASH_NEWS_END:
+	case CRASH_NOTICE_CRASHED:
 		take_end(w, news, now_ms);
 		break;
-	case CRASH_NEWS_ANSWERED:
+	case CRASH_NOTICE_ANSWERED:
 		take_answer(w, news, now_ms);
 		break;
-	case CRASH_NEWS_QUARANTINE:
+	case CRASH_NOTICE_QUARANTINE:
 		crash_ledger_quarantine(&w->ledger, news->digest, news->detail,
 					now_ms);
 		break;
@@ -313,7 +314,7 @@
 }
 
 /* crash_watch_own() takes in what this instance's traffic saw. */
-void crash_watch_own(struct crash_watch *w, const struct crash_news *news)
+void crash_watch_own(struct crash_watch *w, const struct crash_notice *news)
 {
 	w->teller = NULL;
 	take(w, news);
@@ -324,7 +325,7 @@
 {
 	w->teller = teller;
 	for (guint i = 0; i < news->len; i++)
-		take(w, &g_array_index(news, struct crash_news, i));
+		take(w, &g_array_index(news, struct crash_notice, i));
 	w->teller = NULL;
 }
 
@@ -345,18 +346,18 @@
 
 /*
  * crash_watch_verdicts() lists the requests that are refused, as struct
- * crash_news; unref the array after use.
+ * crash_notice; unref the array after use.
  */
 GArray *crash_watch_verdicts(const struct crash_watch *w)
 {
-	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct crash_news));
+	GArray *all = g_array_new(FALSE, FALSE, sizeof(struct crash_notice));
 	GHashTableIter it;
 	gpointer v;
 
 	g_hash_table_iter_init(&it, w->ledger.cases);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct crash_case *c = v;
-		struct crash_news news = verdict_news(c);
+		struct crash_notice news = verdict_news(c);
 
 		if (c->quarantined)
 			g_array_append_val(all, news);
@@ -370,7 +371,7 @@
 	GArray *all = crash_watch_verdicts(w);
 
 	for (guint i = 0; i < all->len; i++)
-		tell(w, &g_array_index(all, struct crash_news, i),
+		tell(w, &g_array_index(all, struct crash_notice, i),
 		     EVIDENCE_TELLS);
 	g_array_unref(all);
 }
@@ -380,7 +381,7 @@
 {
 	w->rank = rank;
 	w->many = many;
-	if (w->joins != w->channel->joins && rank < HUBS)
+	if (w->joins != w->channel->joins && rank < HUB_COUNT)
 		tell_verdicts(w);
 	w->joins = w->channel->joins;
 	crash_ledger_tick(&w->ledger, rank == 0, clock_ms());
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -37,7 +37,7 @@
 		       struct peer_channel *channel,
 		       void (*verdict)(void *priv, const struct verdict *v),
 		       void *priv);
-void crash_watch_own(struct crash_watch *w, const struct crash_news *news);
+void crash_watch_own(struct crash_watch *w, const struct crash_notice *news);
 void crash_watch_heard(struct crash_watch *w, const char *teller,
 		       const GArray *news);
 void crash_watch_stored(struct crash_watch *w, const GArray *news);
--- a/control/feeder.c
+++ b/control/feeder.c
@@ -20,7 +20,7 @@
  */
 enum feed_to feeder_after_read(bool many, unsigned rank)
 {
-	return many && rank >= HUBS ? FEED_HUBS : FEED_ALL;
+	return many && rank >= HUB_COUNT ? FEED_HUBS : FEED_ALL;
 }
 
 /*
@@ -46,7 +46,7 @@
 	if (to == FEED_NOBODY)
 		return;
 	backend_list_outline(list, &feed, now_ms);
-	at = gossip_feed_begin(
+	at = gossip_feed_first(
 		&feed, ch->joined ? (struct store_position){0} : f->told_to,
 		CHANGES_MAX);
 	ch->joined = false;
--- a/control/introduce.c
+++ b/control/introduce.c
@@ -217,7 +217,7 @@
 	if (in->client.state != CLIENT_CLOSED ||
 	    now_ms - in->asked_ms < ASK_EVERY_MS)
 		return;
-	p = peers_informant(in->peers, in->turn++, now_ms);
+	p = peers_pick_source(in->peers, in->turn++, now_ms);
 	if (!p)
 		return;
 	in->asked_ms = now_ms;
@@ -240,7 +240,7 @@
 	in->backends = backends;
 	in->client.state = CLIENT_CLOSED;
 	/* Those that start together don't all ask the same one. */
-	in->turn = (unsigned)peers->self.boot;
+	in->turn = (unsigned)peers->self.boot_id;
 	in->server.limits = (struct http_limits){HEAD_MAX, HEAD_MAX};
 	in->server.head_timeout_s = SERVER_TIMEOUT_S;
 	in->server.idle_timeout_s = SERVER_TIMEOUT_S;
--- a/control/member_record.c
+++ b/control/member_record.c
@@ -14,7 +14,7 @@
 
 	if (!m->written) {
 		/* A record has the form of a heartbeat. */
-		gossip_write_beat(&value, &m->peers->self);
+		gossip_write_heartbeat(&value, &m->peers->self);
 		store_append(&m->store, STORE_TOPIC_MEMBERS,
 			     lstr0(m->peers->self.name), buf_lstr(&value),
 			     NULL);
@@ -45,7 +45,7 @@
 				 "record %.*s is none of ours",
 				 (int)r->records[i].key.len,
 				 r->records[i].key.ptr);
-		else if (msg.kind == GOSSIP_CRASH)
+		else if (msg.kind == GOSSIP_CRASHES)
 			m->crashes(m->priv, msg.crashes);
 		else
 			peers_add(m->peers, &msg.sender, clock_ms());
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -9,7 +9,7 @@
 
 enum {
 	DATAGRAMS_AT_ONCE = 32, /* so that timers get their turn */
-	/* A changed roll is sent whole this long, three times, against loss. */
+	/* A changed roster is sent whole this long, three times, against loss. */
 	ROLL_WHOLE_MS = 1500,
 };
 
@@ -94,12 +94,12 @@
 void peer_channel_call(struct peer_channel *ch, struct limit_call *call,
 		       int64_t now_ms)
 {
-	const struct peer *named = hubs_find(&ch->peers, call->to);
+	const struct peer *named = hubs_find_peer(&ch->peers, call->to);
 	const struct peer *other = call->grant ? NULL : any_live(ch, now_ms);
 	struct buf b = {0};
 
 	call->from = peer_id(ch->peers.self.name);
-	gossip_write_call(&b, call);
+	gossip_write_grant(&b, call);
 	if (named && peer_alive(named, now_ms))
 		send_plain(ch, &b, named);
 	if (other && other != named)
@@ -115,12 +115,12 @@
 {
 	struct buf b = {0};
 
-	gossip_write_beat(&b, &ch->peers.self);
+	gossip_write_heartbeat(&b, &ch->peers.self);
 	for (guint i = 0; i < ch->peers.peers->len; i++) {
 		struct peer *p = g_ptr_array_index(ch->peers.peers, i);
 
 		if (to == TO_ALL || (to == TO_LIVE && peer_alive(p, now_ms)) ||
-		    hubs_beat_due(&ch->peers, p, now_ms))
+		    hubs_heartbeat_due(&ch->peers, p, now_ms))
 			send_datagram(ch, &b, p, now_ms);
 	}
 	buf_free(&b);
@@ -138,8 +138,8 @@
 	send_beats(ch, now_ms, TO_ALL);
 }
 
-/* Sends the whole roll to one peer, or to all live ones. */
-static void send_whole_roll(struct peer_channel *ch, const struct roll *r,
+/* Sends the whole roster to one peer, or to all live ones. */
+static void send_whole_roll(struct peer_channel *ch, const struct roster *r,
 			    struct peer *to, int64_t now_ms)
 {
 	struct buf b = {0};
@@ -147,7 +147,7 @@
 
 	do {
 		b.len = 0;
-		at = gossip_write_roll(&b, &ch->peers.self, r, at);
+		at = gossip_write_roster(&b, &ch->peers.self, r, at);
 		if (to)
 			send_datagram(ch, &b, to, now_ms);
 		else
@@ -156,43 +156,43 @@
 	buf_free(&b);
 }
 
-/* While the roll changes it is sent whole, later its digest only. */
+/* While the roster changes it is sent whole, later its digest only. */
 static void send_roll(struct peer_channel *ch, int64_t now_ms)
 {
 	struct buf b = {0};
-	struct roll r;
+	struct roster r;
 	uint32_t digest;
 
-	roll_init(&r);
-	hubs_write_roll(&ch->peers, &r, now_ms);
-	digest = roll_digest(&r);
-	if (digest != ch->roll_digest || ch->rolled_ms == 0)
+	roster_init(&r);
+	hubs_build_roster(&ch->peers, &r, now_ms);
+	digest = roster_digest(&r);
+	if (digest != ch->roster_digest || ch->rolled_ms == 0)
 		ch->roll_changed_ms = now_ms;
-	ch->roll_digest = digest;
+	ch->roster_digest = digest;
 	ch->rolled_ms = now_ms;
 	if (now_ms - ch->roll_changed_ms < ROLL_WHOLE_MS) {
 		send_whole_roll(ch, &r, NULL, now_ms);
 	} else {
-		gossip_write_same(&b, &ch->peers.self, digest);
+		gossip_write_roster_digest(&b, &ch->peers.self, digest);
 		peer_channel_send_live(ch, &b, now_ms);
 	}
-	roll_clear(&r);
+	roster_clear(&r);
 	buf_free(&b);
 }
 
-/* A peer that missed a part of the roll gets it whole. */
+/* A peer that missed a part of the roster gets it whole. */
 static void send_roll_again(struct peer_channel *ch, const char *name,
 			    int64_t now_ms)
 {
 	struct peer *p = peers_find(&ch->peers, name);
-	struct roll r;
+	struct roster r;
 
 	if (!p)
 		return;
-	roll_init(&r);
-	hubs_write_roll(&ch->peers, &r, now_ms);
+	roster_init(&r);
+	hubs_build_roster(&ch->peers, &r, now_ms);
 	send_whole_roll(ch, &r, p, now_ms);
-	roll_clear(&r);
+	roster_clear(&r);
 }
 
 static void take_digest(struct peer_channel *ch, const struct gossip_message *m,
@@ -201,22 +201,22 @@
 	struct peer *hub = peers_find(&ch->peers, m->sender.name);
 	struct buf b = {0};
 
-	if (hubs_take_digest(&ch->peers, m->digest, now_ms) || !hub)
+	if (hubs_apply_digest(&ch->peers, m->digest, now_ms) || !hub)
 		return;
-	gossip_write_again(&b, &ch->peers.self);
+	gossip_write_roster_request(&b, &ch->peers.self);
 	send_datagram(ch, &b, hub, now_ms);
 	buf_free(&b);
 }
 
-/* Asks the sender of a roll who those are that it names. */
+/* Asks the sender of a roster who those are that it names. */
 static void ask_who(struct peer_channel *ch, struct peer *hub,
 		    const GArray *ids, int64_t now_ms)
 {
 	for (guint i = 0; hub && i < ids->len; i++) {
 		struct buf b = {0};
 
-		gossip_write_who(&b, &ch->peers.self,
-				 g_array_index(ids, uint32_t, i));
+		gossip_write_info_request(&b, &ch->peers.self,
+					  g_array_index(ids, uint32_t, i));
 		send_datagram(ch, &b, hub, now_ms);
 		buf_free(&b);
 	}
@@ -227,7 +227,7 @@
 {
 	GArray *unknown = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
-	hubs_take_roll(&ch->peers, &m->roll, unknown, now_ms);
+	hubs_apply_roster(&ch->peers, &m->roster, unknown, now_ms);
 	ask_who(ch, peers_find(&ch->peers, m->sender.name), unknown, now_ms);
 	g_array_unref(unknown);
 }
@@ -236,12 +236,12 @@
 		       int64_t now_ms)
 {
 	struct peer *asker = peers_find(&ch->peers, m->sender.name);
-	const struct peer *p = hubs_find(&ch->peers, m->who);
+	const struct peer *p = hubs_find_peer(&ch->peers, m->info_id);
 	struct buf b = {0};
 
 	if (!asker || !p)
 		return;
-	gossip_write_person(&b, &ch->peers.self, &p->info);
+	gossip_write_info(&b, &ch->peers.self, &p->info);
 	send_datagram(ch, &b, asker, now_ms);
 	buf_free(&b);
 }
@@ -257,8 +257,8 @@
 	ch->joins++;
 	mp_event(EV_PEER_JOINED, G_LOG_LEVEL_MESSAGE,
 		 "peer=%s dc=%s boot=%" G_GUINT64_FORMAT, info->name, info->dc,
-		 info->boot);
-	gossip_write_beat(&b, &ch->peers.self);
+		 info->boot_id);
+	gossip_write_heartbeat(&b, &ch->peers.self);
 	send_datagram(ch, &b, p, now_ms);
 	buf_free(&b);
 }
@@ -267,19 +267,19 @@
 {
 	int64_t now_ms = clock_ms();
 
-	if (gossip_names_sender(m) &&
-	    peers_heard(&ch->peers, &m->sender, now_ms))
+	if (gossip_has_sender_info(m) &&
+	    peers_note_heartbeat(&ch->peers, &m->sender, now_ms))
 		welcome(ch, &m->sender, now_ms);
-	if (m->kind == GOSSIP_ROLL)
+	if (m->kind == GOSSIP_ROSTER)
 		take_roll(ch, m, now_ms);
-	else if (m->kind == GOSSIP_SAME)
+	else if (m->kind == GOSSIP_ROSTER_DIGEST)
 		take_digest(ch, m, now_ms);
-	else if (m->kind == GOSSIP_AGAIN)
+	else if (m->kind == GOSSIP_ROSTER_REQUEST)
 		send_roll_again(ch, m->sender.name, now_ms);
-	else if (m->kind == GOSSIP_WHO)
+	else if (m->kind == GOSSIP_INFO_REQUEST)
 		answer_who(ch, m, now_ms);
-	else if (m->kind == GOSSIP_PERSON)
-		peers_add(&ch->peers, &m->person, now_ms);
+	else if (m->kind == GOSSIP_INFO)
+		peers_add(&ch->peers, &m->info, now_ms);
 	ch->received(ch->priv, m);
 }
 
@@ -307,8 +307,8 @@
 /* peer_channel_tick() sends what is due; call it every 0.1 s or so. */
 void peer_channel_tick(struct peer_channel *ch, int64_t now_ms)
 {
-	hubs_mark(&ch->peers, now_ms);
-	if (hubs_roll_due(&ch->peers, ch->rolled_ms, now_ms))
+	hubs_assign(&ch->peers, now_ms);
+	if (hubs_roster_due(&ch->peers, ch->rolled_ms, now_ms))
 		send_roll(ch, now_ms);
 	send_beats(ch, now_ms, TO_DUE);
 }
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -1,5 +1,5 @@
 /*
- * Datagrams to and from the other entry instances: heartbeats, the roll, the
+ * Datagrams to and from the other entry instances: heartbeats, the roster, the
  * questions who somebody is, and whatever else the control thread sends them.
  */
 #ifndef MP_CONTROL_PEER_CHANNEL_H
@@ -16,9 +16,9 @@
 	ev_io io;
 	unsigned joins;		 /* peers that came, or came back, so far */
 	bool joined;		 /* a peer is new; it hasn't heard of changes */
-	uint32_t roll_digest;	 /* of the last one sent */
+	uint32_t roster_digest;	 /* of the last one sent */
 	int64_t roll_changed_ms; /* it was another then */
-	int64_t rolled_ms;	 /* this instance's last roll; 0: none */
+	int64_t rolled_ms;	 /* this instance's last roster; 0: none */
 	uint64_t bytes_in, bytes_out;
 	/* A message that is not only about who lives. */
 	void (*received)(void *priv, const struct gossip_message *m);
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -31,14 +31,14 @@
 		mp_event(EV_PEER_BAD_DATAGRAM, G_LOG_LEVEL_WARNING,
 			 "record %.*s is none of ours", (int)rec->key.len,
 			 rec->key.ptr);
-	} else if (m.kind == GOSSIP_CRASH) {
+	} else if (m.kind == GOSSIP_CRASHES) {
 		g_array_append_vals(r->verdicts, m.crashes->data,
 				    m.crashes->len);
 	} else {
 		peers_add(r->peers, &m.sender, clock_ms());
 		g_hash_table_replace(
 			r->boots, g_strdup(m.sender.name),
-			g_memdup2(&m.sender.boot, sizeof(m.sender.boot)));
+			g_memdup2(&m.sender.boot_id, sizeof(m.sender.boot_id)));
 	}
 	gossip_message_clear(&m);
 }
@@ -50,9 +50,9 @@
 	const uint64_t *boot = g_hash_table_lookup(r->boots, p->name);
 	struct buf value = {0};
 
-	if ((boot && *boot == p->boot) || batch->len > BATCH_MAX)
+	if ((boot && *boot == p->boot_id) || batch->len > BATCH_MAX)
 		return 0;
-	gossip_write_beat(&value, p);
+	gossip_write_heartbeat(&value, p);
 	store_batch_add(batch, lstr0(p->name), buf_lstr(&value));
 	buf_free(&value);
 	return 1;
@@ -75,7 +75,7 @@
 static bool holds(const GArray *all, uint64_t digest)
 {
 	for (guint i = 0; i < all->len; i++) {
-		if (g_array_index(all, struct crash_news, i).digest == digest)
+		if (g_array_index(all, struct crash_notice, i).digest == digest)
 			return true;
 	}
 	return false;
@@ -88,8 +88,8 @@
 	unsigned n = 0;
 
 	for (guint i = 0; i < held->len; i++) {
-		const struct crash_news *news =
-			&g_array_index(held, struct crash_news, i);
+		const struct crash_notice *news =
+			&g_array_index(held, struct crash_notice, i);
 
 		if (holds(r->verdicts, news->digest) || batch->len > BATCH_MAX)
 			continue;
@@ -109,12 +109,12 @@
 	unsigned n = 0;
 
 	for (guint i = 0; i < r->verdicts->len; i++) {
-		struct crash_news news =
-			g_array_index(r->verdicts, struct crash_news, i);
+		struct crash_notice news =
+			g_array_index(r->verdicts, struct crash_notice, i);
 
 		if (holds(held, news.digest) || batch->len > BATCH_MAX)
 			continue;
-		news.kind = CRASH_NEWS_ANSWERED;
+		news.kind = CRASH_NOTICE_ANSWERED;
 		crash_record_batch(batch, &r->peers->self, &news);
 		n++;
 	}
@@ -213,6 +213,6 @@
 	r->crashes = crashes;
 	r->boots =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	r->verdicts = g_array_new(FALSE, FALSE, sizeof(struct crash_news));
+	r->verdicts = g_array_new(FALSE, FALSE, sizeof(struct crash_notice));
 	store_open(&r->store, loop, store, on_done, r);
 }
--- a/control/record_check.h
+++ b/control/record_check.h
@@ -15,7 +15,7 @@
 	struct peer_table *peers;
 	struct crash_watch *crashes;
 	GHashTable *boots;    /* instance -> uint64_t *, as its record says */
-	GArray *verdicts;     /* struct crash_news that stand there */
+	GArray *verdicts;     /* struct crash_notice that stand there */
 	bool wrote;	      /* the call under way is a write, and */
 	bool whole;	      /* all that was lost fitted it */
 	uint64_t first_era;   /* the one that was known first; 0: none yet */
--- a/control/relay.c
+++ b/control/relay.c
@@ -12,16 +12,16 @@
 		control_tell_traffic(c, TO_TRAFFIC_LOAD,
 				     g_memdup2(&m->load, sizeof(m->load)));
 		return true;
-	case GOSSIP_WANT:
+	case GOSSIP_GRANT_REQUEST:
 	case GOSSIP_GRANT:
 		control_tell_traffic(c, TO_TRAFFIC_LIMIT_CALL,
 				     g_memdup2(&m->call, sizeof(m->call)));
 		return true;
-	case GOSSIP_LIMIT:
+	case GOSSIP_LIMITS:
 		control_tell_traffic(c, TO_TRAFFIC_LIMITS,
 				     g_memdup2(&m->limits, sizeof(m->limits)));
 		return true;
-	case GOSSIP_DRAIN:
+	case GOSSIP_DRAINING:
 		control_tell_traffic(c, TO_TRAFFIC_DRAIN,
 				     g_memdup2(&m->drain, sizeof(m->drain)));
 		return true;
--- a/member/gossip.c
+++ b/member/gossip.c
@@ -5,11 +5,11 @@
 
 /* Positions in the arrays on the wire. */
 enum {
-	HEAD_FIELDS = 17,
+	SENDER_FIELDS = 17,
 	FEED_FIELDS = 9,
 	CHANGE_FIELDS = 13,
 	CHANGE_ID_FIELDS = 4, /* of one that names a server only */
-	ROLL_FIELDS = 4,
+	ROSTER_FIELDS = 4,
 	CRASH_FIELDS = 3,
 	LOAD_FIELDS = 3,
 	LIMIT_FIELDS = 5,
@@ -19,11 +19,11 @@
 
 enum {
 	/* Room that one change takes at most, with names of usual length. */
-	CHANGE_BYTES = 190,
+	CHANGE_MAX_BYTES = 190,
 	/* And what stands before the changes. */
-	FEED_HEAD_BYTES = 240,
-	/* Entries of a roll that fit one, behind its sender's names. */
-	ROLL_PART = (GOSSIP_MAX - 290) / 5,
+	FEED_HEADER_BYTES = 240,
+	/* Entries of a roster that fit one, behind its sender's names. */
+	ROSTER_PART_ENTRIES = (GOSSIP_MAX - 290) / 5,
 };
 
 static void pack_addr(msgpack_packer *pk, const struct sockaddr_in *sa)
@@ -42,10 +42,10 @@
 {
 	codec_pack_cstr(pk, p->name);
 	codec_pack_cstr(pk, p->dc);
-	codec_pack_cstr(pk, p->callers);
-	codec_pack_cstr(pk, p->own);
+	codec_pack_cstr(pk, p->caller_addr);
+	codec_pack_cstr(pk, p->own_addr);
 	pack_addr(pk, &p->addr);
-	msgpack_pack_uint64(pk, p->boot);
+	msgpack_pack_uint64(pk, p->boot_id);
 	msgpack_pack_uint8(pk, p->leaving);
 	msgpack_pack_uint8(pk, p->ready);
 	msgpack_pack_uint64(pk, p->store_era);
@@ -59,20 +59,20 @@
 static void pack_sender(msgpack_packer *pk, enum gossip_kind kind,
 			const struct peer_info *p)
 {
-	bool alone = kind == GOSSIP_BEAT || kind == GOSSIP_AGAIN;
+	bool alone = kind == GOSSIP_HEARTBEAT || kind == GOSSIP_ROSTER_REQUEST;
 
-	msgpack_pack_array(pk, HEAD_FIELDS + !alone);
+	msgpack_pack_array(pk, SENDER_FIELDS + !alone);
 	msgpack_pack_int(pk, kind);
 	pack_info(pk, p);
 }
 
-/* gossip_write_beat() writes a heartbeat. */
-void gossip_write_beat(struct buf *out, const struct peer_info *self)
+/* gossip_write_heartbeat() writes a heartbeat. */
+void gossip_write_heartbeat(struct buf *out, const struct peer_info *self)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_BEAT, self);
+	pack_sender(&pk, GOSSIP_HEARTBEAT, self);
 }
 
 /* gossip_pack_change() writes one change of the list. */
@@ -85,9 +85,9 @@
 	msgpack_pack_array(pk, named_only ? CHANGE_ID_FIELDS : CHANGE_FIELDS);
 	pack_position(pk, c->pos);
 	codec_pack_cstr(pk, e->id);
-	msgpack_pack_uint8(pk, c->doubted   ? CHANGE_DOUBTED
-			       : c->missing ? CHANGE_MISSING
-					    : CHANGE_PLAIN);
+	msgpack_pack_uint8(pk, c->unconfirmed ? CHANGE_UNCONFIRMED
+			       : c->missing   ? CHANGE_MISSING
+					      : CHANGE_PLAIN);
 	if (named_only)
 		return;
 	codec_pack_cstr(pk, e->service);
@@ -106,15 +106,15 @@
 }
 
 /*
- * gossip_feed_begin() chooses the first change to send: none that the peers
+ * gossip_feed_first() chooses the first change to send: none that the peers
  * were not yet sent, from `told` on, is left out, and older ones are
  * repeated as far as one datagram goes, against loss. Beyond
  * changes_max the oldest are left out all the same.
  */
-guint gossip_feed_begin(const struct backend_feed *feed,
+guint gossip_feed_first(const struct backend_feed *feed,
 			struct store_position told, guint changes_max)
 {
-	guint fit = (GOSSIP_MAX - FEED_HEAD_BYTES) / CHANGE_BYTES;
+	guint fit = (GOSSIP_MAX - FEED_HEADER_BYTES) / CHANGE_MAX_BYTES;
 	guint len = feed->changes->len;
 	guint begin = len > fit ? len - fit : 0;
 	guint least = len > changes_max ? len - changes_max : 0;
@@ -134,7 +134,7 @@
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	while (end < feed->changes->len &&
-	       out->len + CHANGE_BYTES <= GOSSIP_MAX - FEED_HEAD_BYTES)
+	       out->len + CHANGE_MAX_BYTES <= GOSSIP_MAX - FEED_HEADER_BYTES)
 		gossip_pack_change(&pk, &g_array_index(feed->changes,
 						       struct backend_change,
 						       end++));
@@ -172,10 +172,10 @@
 	pack_sender(&pk, GOSSIP_FEED, self);
 	msgpack_pack_array(&pk, FEED_FIELDS);
 	pack_position(&pk, part_from(feed, begin));
-	pack_position(&pk, feed->listed);
+	pack_position(&pk, feed->listed_from);
 	pack_position(&pk, last ? feed->to : pos_at(feed, end));
 	msgpack_pack_uint32(&pk, last ? feed->age_ms : AGE_UNKNOWN);
-	msgpack_pack_uint32(&pk, feed->settle_ms);
+	msgpack_pack_uint32(&pk, feed->removal_delay_ms);
 	msgpack_pack_array(&pk, end - begin);
 	buf_add_lstr(out, buf_lstr(&changes));
 	buf_free(&changes);
@@ -202,17 +202,18 @@
 }
 
 /* Ids that are ready, or those that aren't. */
-static void pack_roll_ids(msgpack_packer *pk, const struct roll *r, bool ready)
+static void pack_roll_ids(msgpack_packer *pk, const struct roster *r,
+			  bool ready)
 {
 	size_t n = 0;
 
 	for (guint i = 0; i < r->entries->len; i++)
-		n += g_array_index(r->entries, struct roll_entry, i).ready ==
+		n += g_array_index(r->entries, struct roster_entry, i).ready ==
 		     ready;
 	msgpack_pack_array(pk, n);
 	for (guint i = 0; i < r->entries->len; i++) {
-		const struct roll_entry *e =
-			&g_array_index(r->entries, struct roll_entry, i);
+		const struct roster_entry *e =
+			&g_array_index(r->entries, struct roster_entry, i);
 
 		if (e->ready == ready)
 			msgpack_pack_fix_uint32(pk, e->id);
@@ -220,80 +221,80 @@
 }
 
 /*
- * gossip_write_roll() writes the entries of a roll from `begin` on that fit a
+ * gossip_write_roster() writes the entries of a roster from `begin` on that fit a
  * datagram, 5 bytes each, and returns the index of the next one.
  */
-guint gossip_write_roll(struct buf *out, const struct peer_info *self,
-			const struct roll *roll, guint begin)
+guint gossip_write_roster(struct buf *out, const struct peer_info *self,
+			  const struct roster *roster, guint begin)
 {
-	struct roll part;
+	struct roster part;
 	msgpack_packer pk;
 	guint end;
 
-	roll_init(&part);
-	end = roll_part(roll, begin, ROLL_PART, &part);
+	roster_init(&part);
+	end = roster_part(roster, begin, ROSTER_PART_ENTRIES, &part);
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_ROLL, self);
-	msgpack_pack_array(&pk, ROLL_FIELDS);
+	pack_sender(&pk, GOSSIP_ROSTER, self);
+	msgpack_pack_array(&pk, ROSTER_FIELDS);
 	msgpack_pack_uint32(&pk, part.lo);
 	msgpack_pack_uint32(&pk, part.hi);
 	pack_roll_ids(&pk, &part, true);
 	pack_roll_ids(&pk, &part, false);
-	roll_clear(&part);
+	roster_clear(&part);
 	return end;
 }
 
-/* gossip_write_who() asks for one that a roll names and nobody else did. */
-void gossip_write_who(struct buf *out, const struct peer_info *self,
-		      uint32_t id)
+/* gossip_write_info_request() asks for one that a roster names and nobody else did. */
+void gossip_write_info_request(struct buf *out, const struct peer_info *self,
+			       uint32_t id)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_WHO, self);
+	pack_sender(&pk, GOSSIP_INFO_REQUEST, self);
 	msgpack_pack_uint32(&pk, id);
 }
 
-/* gossip_write_same() says that the roll is as it was. */
-void gossip_write_same(struct buf *out, const struct peer_info *self,
-		       uint32_t digest)
+/* gossip_write_roster_digest() says that the roster is as it was. */
+void gossip_write_roster_digest(struct buf *out, const struct peer_info *self,
+				uint32_t digest)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_SAME, self);
+	pack_sender(&pk, GOSSIP_ROSTER_DIGEST, self);
 	msgpack_pack_uint32(&pk, digest);
 }
 
-/* gossip_write_again() asks for the whole roll. */
-void gossip_write_again(struct buf *out, const struct peer_info *self)
+/* gossip_write_roster_request() asks for the whole roster. */
+void gossip_write_roster_request(struct buf *out, const struct peer_info *self)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_AGAIN, self);
+	pack_sender(&pk, GOSSIP_ROSTER_REQUEST, self);
 }
 
-/* gossip_write_person() passes on what another instance said of itself. */
-void gossip_write_person(struct buf *out, const struct peer_info *self,
-			 const struct peer_info *person)
+/* gossip_write_info() passes on what another instance said of itself. */
+void gossip_write_info(struct buf *out, const struct peer_info *self,
+		       const struct peer_info *person)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_PERSON, self);
-	msgpack_pack_array(&pk, HEAD_FIELDS - 1);
+	pack_sender(&pk, GOSSIP_INFO, self);
+	msgpack_pack_array(&pk, SENDER_FIELDS - 1);
 	pack_info(&pk, person);
 }
 
-/* gossip_write_crashes() writes at most CRASH_NEWS_MAX news. */
+/* gossip_write_crashes() writes at most CRASH_NOTICES_MAX news. */
 void gossip_write_crashes(struct buf *out, const struct peer_info *self,
-			  const struct crash_news *news, unsigned n)
+			  const struct crash_notice *news, unsigned n)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_CRASH, self);
+	pack_sender(&pk, GOSSIP_CRASHES, self);
 	msgpack_pack_array(&pk, CRASH_FIELDS * (size_t)n);
 	for (unsigned i = 0; i < n; i++) {
 		msgpack_pack_int(&pk, news[i].kind);
@@ -312,7 +313,7 @@
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_array(&pk, 3);
-	msgpack_pack_int(&pk, GOSSIP_LIMIT);
+	msgpack_pack_int(&pk, GOSSIP_LIMITS);
 	msgpack_pack_uint32(&pk, news->peer);
 	msgpack_pack_array(&pk, LIMIT_FIELDS * (size_t)news->n);
 	for (unsigned i = 0; i < news->n; i++) {
@@ -333,7 +334,7 @@
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_array(&pk, 3);
-	msgpack_pack_int(&pk, GOSSIP_DRAIN);
+	msgpack_pack_int(&pk, GOSSIP_DRAINING);
 	msgpack_pack_uint32(&pk, news->peer);
 	msgpack_pack_array(&pk, DRAIN_FIELDS * (size_t)news->n);
 	for (unsigned i = 0; i < news->n; i++) {
@@ -342,14 +343,15 @@
 	}
 }
 
-/* gossip_write_call() writes a question for a send, or a grant. */
-void gossip_write_call(struct buf *out, const struct limit_call *call)
+/* gossip_write_grant() writes a question for a send, or a grant. */
+void gossip_write_grant(struct buf *out, const struct limit_call *call)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_array(&pk, CALL_FIELDS);
-	msgpack_pack_int(&pk, call->grant ? GOSSIP_GRANT : GOSSIP_WANT);
+	msgpack_pack_int(&pk,
+			 call->grant ? GOSSIP_GRANT : GOSSIP_GRANT_REQUEST);
 	msgpack_pack_uint32(&pk, call->from);
 	msgpack_pack_uint32(&pk, call->what);
 	msgpack_pack_uint32(&pk, call->serial);
--- a/member/gossip_read.c
+++ b/member/gossip_read.c
@@ -96,7 +96,7 @@
 	next_text(&c, e->id, sizeof(e->id));
 	kind = next_uint(&c);
 	out->missing = kind == CHANGE_MISSING;
-	out->doubted = kind == CHANGE_DOUBTED;
+	out->unconfirmed = kind == CHANGE_UNCONFIRMED;
 	out->removed = !out->missing && c.at == c.end;
 	if (c.at == c.end)
 		return !c.bad;
@@ -116,10 +116,10 @@
 	struct cursor c = cursor_of(o), list;
 
 	f->from = next_position(&c);
-	f->listed = next_position(&c);
+	f->listed_from = next_position(&c);
 	f->to = next_position(&c);
 	f->age_ms = (uint32_t)next_uint(&c);
-	f->settle_ms = (uint32_t)next_uint(&c);
+	f->removal_delay_ms = (uint32_t)next_uint(&c);
 	list = cursor_of(next(&c));
 	f->changes = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 	while (!list.bad && list.at < list.end) {
@@ -149,10 +149,10 @@
 {
 	next_text(c, p->name, sizeof(p->name));
 	next_text(c, p->dc, sizeof(p->dc));
-	next_text(c, p->callers, sizeof(p->callers));
-	next_text(c, p->own, sizeof(p->own));
+	next_text(c, p->caller_addr, sizeof(p->caller_addr));
+	next_text(c, p->own_addr, sizeof(p->own_addr));
 	next_addr(c, &p->addr);
-	p->boot = next_uint(c);
+	p->boot_id = next_uint(c);
 	p->leaving = next_uint(c) != 0;
 	p->ready = next_uint(c) != 0;
 	p->store_era = next_uint(c);
@@ -176,18 +176,18 @@
 	struct cursor c = cursor_of(o);
 
 	while (!c.bad && c.at < c.end) {
-		struct roll_entry e = {(uint32_t)next_uint(&c), ready};
+		struct roster_entry e = {(uint32_t)next_uint(&c), ready};
 
 		g_array_append_val(out, e);
 	}
 	return !c.bad;
 }
 
-static bool read_roll(const msgpack_object *o, struct roll *r)
+static bool read_roll(const msgpack_object *o, struct roster *r)
 {
 	struct cursor c = cursor_of(o);
 
-	roll_init(r);
+	roster_init(r);
 	r->lo = (uint32_t)next_uint(&c);
 	r->hi = (uint32_t)next_uint(&c);
 	return read_roll_ids(next(&c), true, r->entries) &&
@@ -198,14 +198,15 @@
 {
 	struct cursor c = cursor_of(o);
 
-	while (!c.bad && c.at < c.end && out->len < CRASH_NEWS_MAX) {
-		struct crash_news n = {
-			.kind = (enum crash_news_kind)next_uint(&c),
+	while (!c.bad && c.at < c.end && out->len < CRASH_NOTICES_MAX) {
+		struct crash_notice n = {
+			.kind = (enum crash_notice_kind)next_uint(&c),
 			.digest = next_uint(&c),
 			.detail = (uint32_t)next_uint(&c),
 		};
 
-		if (n.kind < CRASH_NEWS_END || n.kind > CRASH_NEWS_QUARANTINE)
+		if (n.kind < CRASH_NOTICE_CRASHED ||
+		    n.kind > CRASH_NOTICE_QUARANTINE)
 			return false;
 		g_array_append_val(out, n);
 	}
@@ -250,14 +251,14 @@
 	return !c->bad;
 }
 
-/* gossip_names_sender() tells whether a message says who sent it in full. */
-bool gossip_names_sender(const struct gossip_message *m)
+/* gossip_has_sender_info() tells whether a message says who sent it in full. */
+bool gossip_has_sender_info(const struct gossip_message *m)
 {
 	switch (m->kind) {
 	case GOSSIP_LOAD:
-	case GOSSIP_LIMIT:
-	case GOSSIP_DRAIN:
-	case GOSSIP_WANT:
+	case GOSSIP_LIMITS:
+	case GOSSIP_DRAINING:
+	case GOSSIP_GRANT_REQUEST:
 	case GOSSIP_GRANT:
 		return false;
 	default:
@@ -269,10 +270,10 @@
 static bool read_backoff(struct cursor *c, struct gossip_message *m)
 {
 	switch (m->kind) {
-	case GOSSIP_BEAT:
-	case GOSSIP_AGAIN:
+	case GOSSIP_HEARTBEAT:
+	case GOSSIP_ROSTER_REQUEST:
 		return true;
-	case GOSSIP_SAME:
+	case GOSSIP_ROSTER_DIGEST:
 		m->digest = (uint32_t)next_uint(c);
 		return !c->bad;
 	case GOSSIP_FEED:
@@ -280,25 +281,25 @@
 	case GOSSIP_LOAD:
 		m->load.peer = (uint32_t)next_uint(c);
 		return read_counts(next(c), &m->load) && !c->bad;
-	case GOSSIP_LIMIT:
+	case GOSSIP_LIMITS:
 		m->limits.peer = (uint32_t)next_uint(c);
 		return read_limits(next(c), &m->limits) && !c->bad;
-	case GOSSIP_DRAIN:
+	case GOSSIP_DRAINING:
 		m->drain.peer = (uint32_t)next_uint(c);
 		return read_draining(next(c), &m->drain) && !c->bad;
-	case GOSSIP_WANT:
+	case GOSSIP_GRANT_REQUEST:
 	case GOSSIP_GRANT:
 		return read_call(c, m);
-	case GOSSIP_ROLL:
-		return read_roll(next(c), &m->roll);
-	case GOSSIP_WHO:
-		m->who = (uint32_t)next_uint(c);
+	case GOSSIP_ROSTER:
+		return read_roll(next(c), &m->roster);
+	case GOSSIP_INFO_REQUEST:
+		m->info_id = (uint32_t)next_uint(c);
 		return !c->bad;
-	case GOSSIP_PERSON:
-		return read_person(next(c), &m->person);
-	case GOSSIP_CRASH:
+	case GOSSIP_INFO:
+		return read_person(next(c), &m->info);
+	case GOSSIP_CRASHES:
 		m->crashes =
-			g_array_new(FALSE, FALSE, sizeof(struct crash_news));
+			g_array_new(FALSE, FALSE, sizeof(struct crash_notice));
 		return read_crashes(next(c), m->crashes);
 	}
 	return false;
@@ -321,7 +322,7 @@
 		struct cursor c = cursor_of(&u.data);
 
 		m->kind = (enum gossip_kind)next_uint(&c);
-		if (gossip_names_sender(m))
+		if (gossip_has_sender_info(m))
 			read_info(&c, &m->sender);
 		if (!c.bad && read_backoff(&c, m))
 			rc = 0;
@@ -339,5 +340,5 @@
 	if (m->crashes)
 		g_array_unref(m->crashes);
 	m->crashes = NULL;
-	roll_clear(&m->roll);
+	roster_clear(&m->roster);
 }
--- a/member/peers.c
+++ b/member/peers.c
@@ -9,19 +9,19 @@
 	 * instance that is gone leaves the callers' answers within two
 	 * seconds.
 	 */
-	ALIVE_MS = 1700,
+	ALIVE_TIMEOUT_MS = 1700,
 	/* A peer that lives has answered the first heartbeat by then. */
 	ANSWER_MS = 1000,
 	/*
 	 * One that fell silent may be cut off and serve on: regions are for an
 	 * hour now and then.
 	 */
-	CUT_MAX_MS = 2 * 3600 * 1000,
+	PARTITION_MAX_MS = 2 * 3600 * 1000,
 	/* After its grace time a stopping instance has ended. */
 	STOP_MARGIN_MS = 1000,
 };
 
-/* peer_id() shortens a name for the roll. */
+/* peer_id() shortens a name for the roster. */
 uint32_t peer_id(const char *name)
 {
 	return g_str_hash(name);
@@ -58,7 +58,7 @@
 	p = g_new0(struct peer, 1);
 	p->info = *info;
 	p->id = peer_id(info->name);
-	p->known_ms = now_ms;
+	p->added_ms = now_ms;
 	g_ptr_array_insert(t->peers, (gint)at, p);
 	return p;
 }
@@ -76,42 +76,43 @@
 }
 
 /*
- * peers_heard() takes in a heartbeat. Returns whether the peer is new, has
+ * peers_note_heartbeat() takes in a heartbeat. Returns whether the peer is new, has
  * started anew or was thought lost: it is then answered at once, so that it
  * need not wait for the next heartbeat to know this instance.
  */
-bool peers_heard(struct peer_table *t, const struct peer_info *info,
-		 int64_t now_ms)
+bool peers_note_heartbeat(struct peer_table *t, const struct peer_info *info,
+			  int64_t now_ms)
 {
 	struct peer *p = peers_add(t, info, now_ms);
 
 	if (!p)
 		return false;
-	bool fresh = !peer_alive(p, now_ms) || p->info.boot != info->boot;
+	bool fresh = !peer_alive(p, now_ms) || p->info.boot_id != info->boot_id;
 
 	p->info = *info;
-	p->heard_ms = now_ms;
-	p->believed = true;
+	p->heartbeat_ms = now_ms;
+	p->logged_alive = true;
 	return fresh;
 }
 
 /*
  * peer_alive() tells whether a peer's heartbeats come, here or at the hub
- * whose roll came last.
+ * whose roster came last.
  */
 bool peer_alive(const struct peer *p, int64_t now_ms)
 {
-	if (p->heard_ms && now_ms - p->heard_ms < ALIVE_MS)
+	if (p->heartbeat_ms && now_ms - p->heartbeat_ms < ALIVE_TIMEOUT_MS)
 		return true;
-	return p->told && now_ms - p->told_ms < ALIVE_MS;
+	return p->in_roster && now_ms - p->roster_ms < ALIVE_TIMEOUT_MS;
 }
 
-/* peer_seen_ms() tells when somebody last heard of a peer. */
-int64_t peer_seen_ms(const struct peer *p)
+/* peer_last_seen_ms() tells when somebody last heard of a peer. */
+int64_t peer_last_seen_ms(const struct peer *p)
 {
-	int64_t seen = p->heard_ms > p->told_ms ? p->heard_ms : p->told_ms;
+	int64_t seen =
+		p->heartbeat_ms > p->roster_ms ? p->heartbeat_ms : p->roster_ms;
 
-	return seen ? seen : p->known_ms;
+	return seen ? seen : p->added_ms;
 }
 
 /*
@@ -123,9 +124,9 @@
 	for (guint i = 0; i < t->peers->len; i++) {
 		struct peer *p = g_ptr_array_index(t->peers, i);
 
-		if (!p->believed || peer_alive(p, now_ms))
+		if (!p->logged_alive || peer_alive(p, now_ms))
 			continue;
-		p->believed = false;
+		p->logged_alive = false;
 		return p;
 	}
 	return NULL;
@@ -139,8 +140,8 @@
 
 	for (guint i = 0; i < t->peers->len; i++) {
 		const struct peer *p = g_ptr_array_index(t->peers, i);
-		bool expected = expected_too && !p->heard_ms &&
-				now_ms - p->known_ms < ANSWER_MS;
+		bool expected = expected_too && !p->heartbeat_ms &&
+				now_ms - p->added_ms < ANSWER_MS;
 		bool alive = peer_alive(p, now_ms) && !p->info.leaving;
 
 		if ((alive || expected) &&
@@ -161,10 +162,10 @@
 }
 
 /*
- * peers_start_rank() is peers_rank() for an instance that has just started:
+ * peers_startup_rank() is peers_rank() for an instance that has just started:
  * peers that were not heard yet count while they may still answer.
  */
-unsigned peers_start_rank(const struct peer_table *t, int64_t now_ms)
+unsigned peers_startup_rank(const struct peer_table *t, int64_t now_ms)
 {
 	return count_before(t, now_ms, true);
 }
@@ -189,7 +190,7 @@
 
 	for (guint i = 0; i < t->peers->len; i++) {
 		const struct peer *p = g_ptr_array_index(t->peers, i);
-		if (now_ms - peer_seen_ms(p) < PEER_LOST_MS)
+		if (now_ms - peer_last_seen_ms(p) < PEER_LOST_MS)
 			n++;
 	}
 	return n;
@@ -198,11 +199,11 @@
 /* Whether a peer may still send to servers, as far as is known here. */
 static bool may_send(const struct peer *p, uint32_t stop_ms, int64_t now_ms)
 {
-	int64_t silent = now_ms - peer_seen_ms(p);
+	int64_t silent = now_ms - peer_last_seen_ms(p);
 
 	if (p->info.leaving && silent >= (int64_t)stop_ms + STOP_MARGIN_MS)
 		return false;
-	return silent < CUT_MAX_MS;
+	return silent < PARTITION_MAX_MS;
 }
 
 /*
@@ -252,12 +253,12 @@
 
 static void add_brief(GArray *out, const struct peer_info *p)
 {
-	struct peer_brief b;
+	struct peer_endpoint b;
 
 	memcpy(b.name, p->name, sizeof(b.name));
 	memcpy(b.dc, p->dc, sizeof(b.dc));
-	memcpy(b.callers, p->callers, sizeof(b.callers));
-	memcpy(b.own, p->own, sizeof(b.own));
+	memcpy(b.caller_addr, p->caller_addr, sizeof(b.caller_addr));
+	memcpy(b.own_addr, p->own_addr, sizeof(b.own_addr));
 	g_array_append_val(out, b);
 }
 
@@ -282,11 +283,11 @@
  * that can serve, or those that live when none can (they say when to come
  * back). An instance that hears none of the others it knows is more likely
  * cut off than the last one left, so it names them all. The result is an array
- * of struct peer_brief; unref it after use.
+ * of struct peer_endpoint; unref it after use.
  */
 GArray *peers_for_callers(const struct peer_table *t, int64_t now_ms)
 {
-	GArray *out = g_array_new(FALSE, TRUE, sizeof(struct peer_brief));
+	GArray *out = g_array_new(FALSE, TRUE, sizeof(struct peer_endpoint));
 	guint alive = list_peers(t, now_ms, CHOOSE_ALIVE, out);
 
 	if (alive <= 1 && t->peers->len)
@@ -296,8 +297,8 @@
 	return out;
 }
 
-/* peers_ready() counts the live peers that can serve. */
-unsigned peers_ready(const struct peer_table *t, int64_t now_ms)
+/* peers_count_ready() counts the live peers that can serve. */
+unsigned peers_count_ready(const struct peer_table *t, int64_t now_ms)
 {
 	unsigned n = 0;
 
@@ -308,12 +309,12 @@
 }
 
 /*
- * peers_informant() finds a live peer that can serve, to ask it for what it
+ * peers_pick_source() finds a live peer that can serve, to ask it for what it
  * knows: of the own data centre if there is one, as what crosses data centres
  * is slower and dearer. `turn` chooses among several; NULL: there is none.
  */
-const struct peer *peers_informant(const struct peer_table *t, unsigned turn,
-				   int64_t now_ms)
+const struct peer *peers_pick_source(const struct peer_table *t, unsigned turn,
+				     int64_t now_ms)
 {
 	GPtrArray *near = g_ptr_array_new(), *far = g_ptr_array_new();
 	const struct peer *chosen = NULL;
--- a/tests/peer_info.h
+++ b/tests/peer_info.h
@@ -9,7 +9,7 @@
 /* An instance "eN" in data centre dc-1. */
 static inline struct peer_info info(const char *name, uint64_t boot)
 {
-	struct peer_info p = {.boot = boot,
+	struct peer_info p = {.boot_id = boot,
 			      .store_era = 3,
 			      .records_era = 2,
 			      .config = {.pos = {3, 7},
@@ -19,7 +19,8 @@
 
 	g_strlcpy(p.name, name, sizeof(p.name));
 	g_strlcpy(p.dc, "dc-1", sizeof(p.dc));
-	g_snprintf(p.callers, sizeof(p.callers), "10.0.0.%s:80", name + 1);
+	g_snprintf(p.caller_addr, sizeof(p.caller_addr), "10.0.0.%s:80",
+		   name + 1);
 	p.addr.sin_family = AF_INET;
 	p.addr.sin_port = htons(7200);
 	p.addr.sin_addr.s_addr = htonl(0x0a000001);
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -12,19 +12,19 @@
 static struct store_endpoint store;
 
 /* What a peer says that knows the records before `offset`, of age_ms ago. */
-static struct config_mark mark(uint64_t version, uint64_t offset,
-			       uint32_t age_ms)
+static struct config_progress mark(uint64_t version, uint64_t offset,
+				   uint32_t age_ms)
 {
-	return (struct config_mark){.pos = {store.era, offset},
-				    .age_ms = age_ms,
-				    .version = version,
-				    .digest = (uint32_t)version};
+	return (struct config_progress){.pos = {store.era, offset},
+					.age_ms = age_ms,
+					.version = version,
+					.digest = (uint32_t)version};
 }
 
 static enum config_need hear(struct config_watch *w, uint64_t version,
 			     uint64_t offset, uint32_t age_ms, int64_t now_ms)
 {
-	struct config_mark m = mark(version, offset, age_ms);
+	struct config_progress m = mark(version, offset, age_ms);
 
 	return config_watch_heard(w, &m, now_ms);
 }
@@ -248,7 +248,7 @@
 static void test_version_that_the_copy_lacks(void **state)
 {
 	struct config_watch w;
-	struct config_mark old = mark(21, 9, 10);
+	struct config_progress old = mark(21, 9, 10);
 
 	init(&w, "19", 7);
 	rise(&w, 1);
@@ -306,7 +306,7 @@
 /* Of two contents under one number the one that stands later counts. */
 static void test_same_number_other_content(void **state)
 {
-	struct config_mark m;
+	struct config_progress m;
 	struct config_watch w;
 
 	start(&w);
@@ -330,7 +330,7 @@
 
 static void test_age_is_unknown_until_confirmed_in_this_era(void **state)
 {
-	struct config_mark old = mark(5, 10, 10);
+	struct config_progress old = mark(5, 10, 10);
 	struct config_watch w;
 
 	init(&w, "5", 10);
--- a/tests/test_end_check.c
+++ b/tests/test_crash_check.c
@@ -1,5 +1,5 @@
 /*
- * Tests of traffic/end_check, and of what the traffic side does with verdicts
+ * Tests of traffic/crash_check, and of what the traffic side does with verdicts
  * on requests that end servers.
  */
 #include "tests/unit.h"
@@ -11,12 +11,12 @@
 #include "core/request_digest.h"
 #include "misc/clock.h"
 #include "tests/bench.h"
-#include "traffic/end_check.h"
+#include "traffic/crash_check.h"
 #include "traffic/request.h"
 
 enum { NEWS_MAX = 16, CHECK_MS = 150 };
 
-static struct crash_news news[NEWS_MAX];
+static struct crash_notice news[NEWS_MAX];
 static unsigned nnews;
 
 static void on_news(void *priv, struct mail *m)
@@ -24,7 +24,7 @@
 	if (m->kind != FROM_TRAFFIC_CRASH)
 		return;
 	assert_true(nnews < NEWS_MAX);
-	news[nnews++] = *(struct crash_news *)m->data;
+	news[nnews++] = *(struct crash_notice *)m->data;
 	g_free(m->data);
 }
 
@@ -85,7 +85,7 @@
 	assert_int_equal(bench_runs(b, c), 2);
 	assert_int_equal(nnews, 2);
 	for (unsigned i = 0; i < 2; i++) {
-		assert_int_equal(news[i].kind, CRASH_NEWS_END);
+		assert_int_equal(news[i].kind, CRASH_NOTICE_CRASHED);
 		assert_true(news[i].digest == digest_of("GET"));
 	}
 	assert_int_not_equal(news[0].detail, news[1].detail);
@@ -280,7 +280,7 @@
 	set_verdict(b, VERDICT_SUSPECT);
 	assert_int_equal(call(b, "GET")->status, 200);
 	assert_int_equal(nnews, 1);
-	assert_int_equal(news[0].kind, CRASH_NEWS_ANSWERED);
+	assert_int_equal(news[0].kind, CRASH_NOTICE_ANSWERED);
 	bench_free(b);
 }
 
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -52,7 +52,7 @@
 {
 	struct instance *in = priv;
 
-	if (m->kind == GOSSIP_CRASH && !in->deaf)
+	if (m->kind == GOSSIP_CRASHES && !in->deaf)
 		crash_watch_heard(&in->watch, m->sender.name, m->crashes);
 }
 
@@ -67,14 +67,14 @@
 		peer_channel_tick(&in->channel, now_ms);
 		crash_watch_tick(&in->watch,
 				 peers_rank(&in->channel.peers, now_ms),
-				 hubs_serve(&in->channel.peers));
+				 hubs_enabled(&in->channel.peers));
 	}
 }
 
 static void open_instance(struct fleet *f, int i)
 {
 	struct instance *in = &f->all[i];
-	struct peer_info self = {.boot = (uint64_t)i + 1, .ready = true};
+	struct peer_info self = {.boot_id = (uint64_t)i + 1, .ready = true};
 	char addr[32];
 
 	snprintf(self.name, sizeof(self.name), "e%02d", i);
@@ -145,10 +145,10 @@
 	g_free(f);
 }
 
-static void saw(struct fleet *f, int i, enum crash_news_kind kind,
+static void saw(struct fleet *f, int i, enum crash_notice_kind kind,
 		uint64_t digest, uint32_t server)
 {
-	struct crash_news news = {kind, digest, server};
+	struct crash_notice news = {kind, digest, server};
 
 	crash_watch_own(&f->all[i].watch, &news);
 }
@@ -168,9 +168,10 @@
 	for (int i = 0; i < 3; i++) {
 		int at = f->n - 1 - i;
 
-		saw(f, at, CRASH_NEWS_END, CULPRIT, 100 + (uint32_t)i);
-		saw(f, i, CRASH_NEWS_END, 10 + (uint64_t)i, 100 + (uint32_t)i);
-		saw(f, i, CRASH_NEWS_END, 7, 100 + (uint32_t)(i % 2));
+		saw(f, at, CRASH_NOTICE_CRASHED, CULPRIT, 100 + (uint32_t)i);
+		saw(f, i, CRASH_NOTICE_CRASHED, 10 + (uint64_t)i,
+		    100 + (uint32_t)i);
+		saw(f, i, CRASH_NOTICE_CRASHED, 7, 100 + (uint32_t)(i % 2));
 		run_ms(f, 60);
 	}
 }
@@ -201,7 +202,7 @@
 	for (int i = 0; i < f->n; i++)
 		assert_int_equal(
 			g_queue_get_length(&f->all[i].watch.record.pending),
-			i < HUBS ? 1 : 0);
+			i < HUB_COUNT ? 1 : 0);
 	end(f);
 }
 
@@ -210,10 +211,10 @@
 {
 	struct fleet *f = begin(LARGE);
 
-	assert_true(hubs_serve(&f->all[0].channel.peers));
+	assert_true(hubs_enabled(&f->all[0].channel.peers));
 	three_ends(f);
 	expect_agreed(f);
-	saw(f, LARGE - 1, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	saw(f, LARGE - 1, CRASH_NOTICE_ANSWERED, CULPRIT, 0);
 	wait_for(f, VERDICT_CLEAR, LARGE);
 	end(f);
 }
@@ -242,7 +243,7 @@
 	for (int i = 0; i < f->n; i++)
 		g_array_set_size(f->all[i].watch.tellings, 0);
 	assert_int_equal(count(f, VERDICT_REFUSE), SMALL - 1);
-	saw(f, 3, CRASH_NEWS_END, CULPRIT, 555);
+	saw(f, 3, CRASH_NOTICE_CRASHED, CULPRIT, 555);
 	wait_for(f, VERDICT_REFUSE, SMALL);
 	end(f);
 }
@@ -252,14 +253,14 @@
 {
 	struct fleet *f = begin(SMALL);
 
-	saw(f, 0, CRASH_NEWS_END, CULPRIT, 100);
-	saw(f, 1, CRASH_NEWS_END, CULPRIT, 101);
+	saw(f, 0, CRASH_NOTICE_CRASHED, CULPRIT, 100);
+	saw(f, 1, CRASH_NOTICE_CRASHED, CULPRIT, 101);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
-	saw(f, 2, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	saw(f, 2, CRASH_NOTICE_ANSWERED, CULPRIT, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
 	/* The answer is told for 0.14 s. */
 	run_ms(f, 500);
-	saw(f, 0, CRASH_NEWS_END, CULPRIT, 102);
+	saw(f, 0, CRASH_NOTICE_CRASHED, CULPRIT, 102);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
 	end(f);
 }
@@ -271,13 +272,13 @@
 
 	three_ends(f);
 	expect_agreed(f);
-	saw(f, SMALL - 1, CRASH_NEWS_ANSWERED, CULPRIT, 0);
+	saw(f, SMALL - 1, CRASH_NOTICE_ANSWERED, CULPRIT, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
 	for (int i = 0; i < SMALL; i++) {
-		const struct crash_news *last =
+		const struct crash_notice *last =
 			g_queue_peek_tail(&f->all[i].watch.record.pending);
 
-		assert_int_equal(last->kind, CRASH_NEWS_ANSWERED);
+		assert_int_equal(last->kind, CRASH_NOTICE_ANSWERED);
 	}
 	end(f);
 }
@@ -288,7 +289,7 @@
 	struct fleet *f = begin(SMALL);
 
 	for (uint64_t d = 1000; d < 1200; d++)
-		saw(f, 0, CRASH_NEWS_END, d, (uint32_t)d);
+		saw(f, 0, CRASH_NOTICE_CRASHED, d, (uint32_t)d);
 	for (int i = 0;
 	     i < 100 && !crash_ledger_find(&f->all[3].watch.ledger, 1199); i++)
 		run_ms(f, 50);
@@ -306,7 +307,7 @@
 	for (int i = 0; i < LARGE; i++)
 		f->all[i].deaf = true;
 	for (uint32_t s = 1; s <= 3; s++)
-		saw(f, LARGE - 1, CRASH_NEWS_END, CULPRIT, s);
+		saw(f, LARGE - 1, CRASH_NOTICE_CRASHED, CULPRIT, s);
 	run_ms(f, 500);
 	assert_int_equal(count(f, VERDICT_REFUSE), 0);
 	assert_int_equal(f->all[LARGE - 1].verdict, VERDICT_SUSPECT);
--- a/tests/test_feeder.c
+++ b/tests/test_feeder.c
@@ -9,8 +9,8 @@
 	assert_int_equal(feeder_after_read(false, 0), FEED_ALL);
 	assert_int_equal(feeder_after_read(false, 12), FEED_ALL);
 	assert_int_equal(feeder_after_read(true, 0), FEED_ALL);
-	assert_int_equal(feeder_after_read(true, HUBS - 1), FEED_ALL);
-	assert_int_equal(feeder_after_read(true, HUBS), FEED_HUBS);
+	assert_int_equal(feeder_after_read(true, HUB_COUNT - 1), FEED_ALL);
+	assert_int_equal(feeder_after_read(true, HUB_COUNT), FEED_HUBS);
 }
 
 /* The hubs can't read: the first passes on what others told them. */
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -127,21 +127,21 @@
 static void test_crash_news(void **state)
 {
 	struct peer_info self = info("e3", 77);
-	struct crash_news news[CRASH_NEWS_MAX + 1], strange = {9, 1, 1};
+	struct crash_notice news[CRASH_NOTICES_MAX + 1], strange = {9, 1, 1};
 	struct gossip_message m;
 	struct buf b = {0};
 
 	for (unsigned i = 0; i < G_N_ELEMENTS(news); i++)
-		news[i] = (struct crash_news){CRASH_NEWS_END + i % 3,
-					      UINT64_MAX - i, UINT32_MAX - i};
-	gossip_write_crashes(&b, &self, news, CRASH_NEWS_MAX);
+		news[i] = (struct crash_notice){CRASH_NOTICE_CRASHED + i % 3,
+						UINT64_MAX - i, UINT32_MAX - i};
+	gossip_write_crashes(&b, &self, news, CRASH_NOTICES_MAX);
 	assert_true(b.len <= GOSSIP_MAX);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_CRASH);
-	assert_int_equal(m.crashes->len, CRASH_NEWS_MAX);
-	for (unsigned i = 0; i < CRASH_NEWS_MAX; i++) {
-		const struct crash_news *n =
-			&g_array_index(m.crashes, struct crash_news, i);
+	assert_int_equal(m.kind, GOSSIP_CRASHES);
+	assert_int_equal(m.crashes->len, CRASH_NOTICES_MAX);
+	for (unsigned i = 0; i < CRASH_NOTICES_MAX; i++) {
+		const struct crash_notice *n =
+			&g_array_index(m.crashes, struct crash_notice, i);
 
 		assert_int_equal(n->kind, news[i].kind);
 		assert_true(n->digest == news[i].digest);
@@ -159,8 +159,10 @@
 static void test_round_trip(void **state)
 {
 	struct peer_info self = info("e3", 77);
-	struct backend_feed f = {
-		.from = {2, 90}, .to = {2, 110}, .age_ms = 3, .settle_ms = 4};
+	struct backend_feed f = {.from = {2, 90},
+				 .to = {2, 110},
+				 .age_ms = 3,
+				 .removal_delay_ms = 4};
 	struct gossip_message m;
 	struct buf b = {0};
 
@@ -170,8 +172,8 @@
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_FEED);
 	assert_memory_equal(&m.sender.addr, &self.addr, sizeof(self.addr));
-	assert_string_equal(m.sender.callers, self.callers);
-	assert_int_equal(m.sender.boot, 77);
+	assert_string_equal(m.sender.caller_addr, self.caller_addr);
+	assert_int_equal(m.sender.boot_id, 77);
 	assert_int_equal(m.sender.store_era, 3);
 	assert_int_equal(m.sender.records_era, 2);
 	assert_int_equal(m.sender.config.pos.era, 3);
@@ -195,33 +197,33 @@
 	g_array_unref(f.changes);
 }
 
-/* A roll of 1,000 in parts that fit a datagram each, and who somebody is. */
+/* A roster of 1,000 in parts that fit a datagram each, and who somebody is. */
 static void test_roll_round_trip(void **state)
 {
 	struct peer_info self = info("e3", 77), other = info("e4", 78);
 	struct gossip_message m;
 	struct buf b = {0};
-	struct roll r;
+	struct roster r;
 	guint at = 0, seen = 0;
 	uint32_t next = 0;
 
-	roll_init(&r);
+	roster_init(&r);
 	for (uint32_t i = 0; i < 1000; i++) {
-		struct roll_entry e = {1000 + i * 7, i % 3 != 0};
+		struct roster_entry e = {1000 + i * 7, i % 3 != 0};
 
 		g_array_append_val(r.entries, e);
 	}
 	while (at < 1000) {
 		b.len = 0;
-		at = gossip_write_roll(&b, &self, &r, at);
+		at = gossip_write_roster(&b, &self, &r, at);
 		assert_true(b.len <= GOSSIP_MAX);
 		assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-		assert_int_equal(m.kind, GOSSIP_ROLL);
-		assert_int_equal(m.roll.lo, next);
-		next = m.roll.hi + 1;
-		for (guint i = 0; i < m.roll.entries->len; i++, seen++) {
-			struct roll_entry e = g_array_index(
-				m.roll.entries, struct roll_entry, i);
+		assert_int_equal(m.kind, GOSSIP_ROSTER);
+		assert_int_equal(m.roster.lo, next);
+		next = m.roster.hi + 1;
+		for (guint i = 0; i < m.roster.entries->len; i++, seen++) {
+			struct roster_entry e = g_array_index(
+				m.roster.entries, struct roster_entry, i);
 
 			assert_int_equal(e.ready, (e.id - 1000) / 7 % 3 != 0);
 		}
@@ -231,34 +233,34 @@
 	assert_int_equal(next, 0);
 	refuse_prefixes(&b);
 	b.len = 0;
-	gossip_write_who(&b, &self, 4711);
+	gossip_write_info_request(&b, &self, 4711);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.who, 4711);
+	assert_int_equal(m.info_id, 4711);
 	gossip_message_clear(&m);
 	refuse_prefixes(&b);
 	b.len = 0;
-	gossip_write_same(&b, &self, 99);
+	gossip_write_roster_digest(&b, &self, 99);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_SAME);
+	assert_int_equal(m.kind, GOSSIP_ROSTER_DIGEST);
 	assert_int_equal(m.digest, 99);
 	gossip_message_clear(&m);
 	refuse_prefixes(&b);
 	b.len = 0;
-	gossip_write_again(&b, &self);
+	gossip_write_roster_request(&b, &self);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_AGAIN);
+	assert_int_equal(m.kind, GOSSIP_ROSTER_REQUEST);
 	gossip_message_clear(&m);
 	refuse_prefixes(&b);
 	b.len = 0;
-	gossip_write_person(&b, &self, &other);
+	gossip_write_info(&b, &self, &other);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_string_equal(m.sender.name, "e3");
-	assert_string_equal(m.person.name, "e4");
-	assert_string_equal(m.person.callers, other.callers);
+	assert_string_equal(m.info.name, "e4");
+	assert_string_equal(m.info.caller_addr, other.caller_addr);
 	gossip_message_clear(&m);
 	refuse_prefixes(&b);
 	buf_free(&b);
-	roll_clear(&r);
+	roster_clear(&r);
 }
 
 static void test_load_round_trip(void **state)
@@ -273,7 +275,7 @@
 	assert_true(b.len <= 25);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_LOAD);
-	assert_false(gossip_names_sender(&m));
+	assert_false(gossip_has_sender_info(&m));
 	assert_int_equal(m.load.peer, peer_id("e3"));
 	assert_int_equal(m.load.n, 2);
 	assert_memory_equal(m.load.items, l.items, 2 * sizeof(*l.items));
@@ -294,8 +296,8 @@
 	gossip_write_limits(&b, &l);
 	assert_true(b.len <= GOSSIP_MAX);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_LIMIT);
-	assert_false(gossip_names_sender(&m));
+	assert_int_equal(m.kind, GOSSIP_LIMITS);
+	assert_false(gossip_has_sender_info(&m));
 	assert_int_equal(m.limits.peer, peer_id("e3"));
 	assert_int_equal(m.limits.n, LIMIT_NEWS_MAX);
 	for (unsigned i = 0; i < LIMIT_NEWS_MAX; i++) {
@@ -321,10 +323,11 @@
 		struct buf b = {0};
 
 		l.grant = grant;
-		gossip_write_call(&b, &l);
+		gossip_write_grant(&b, &l);
 		assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-		assert_int_equal(m.kind, grant ? GOSSIP_GRANT : GOSSIP_WANT);
-		assert_false(gossip_names_sender(&m));
+		assert_int_equal(m.kind,
+				 grant ? GOSSIP_GRANT : GOSSIP_GRANT_REQUEST);
+		assert_false(gossip_has_sender_info(&m));
 		assert_int_equal(m.call.grant, grant);
 		assert_int_equal(m.call.from, peer_id("e3"));
 		assert_int_equal(m.call.what, 9);
@@ -349,8 +352,8 @@
 	gossip_write_drain(&b, &l);
 	assert_true(b.len <= GOSSIP_MAX);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_DRAIN);
-	assert_false(gossip_names_sender(&m));
+	assert_int_equal(m.kind, GOSSIP_DRAINING);
+	assert_false(gossip_has_sender_info(&m));
 	assert_int_equal(m.drain.peer, peer_id("e3"));
 	assert_int_equal(m.drain.n, DRAIN_NEWS_MAX);
 	for (unsigned i = 0; i < DRAIN_NEWS_MAX; i++) {
@@ -390,7 +393,7 @@
 
 	f.changes = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 	fill_changes(f.changes, 200);
-	begin = gossip_feed_begin(&f, (struct store_position){2, 400}, 1000);
+	begin = gossip_feed_first(&f, (struct store_position){2, 400}, 1000);
 	assert_true(begin > 0);
 	assert_int_equal(gossip_write_feed(&b, &self, &f, begin), 200);
 	assert_true(b.len <= GOSSIP_MAX);
@@ -423,7 +426,7 @@
 	fill_changes(f.changes, 200);
 	next = g_array_index(f.changes, struct backend_change, 49).pos.offset +
 	       1;
-	at = gossip_feed_begin(&f, (struct store_position){2, next}, 1000);
+	at = gossip_feed_first(&f, (struct store_position){2, next}, 1000);
 	assert_int_equal(at, 50);
 	while (at < 200) {
 		b.len = 0;
@@ -437,7 +440,7 @@
 	}
 	assert_int_equal(next, 400);
 	/* More than may be sent: the newest of it. */
-	at = gossip_feed_begin(&f, (struct store_position){2, 0}, 24);
+	at = gossip_feed_first(&f, (struct store_position){2, 0}, 24);
 	assert_int_equal(at, 200 - 24);
 	b.len = 0;
 	gossip_write_feed(&b, &self, &f, at);
--- a/tests/test_hubs.c
+++ b/tests/test_hubs.c
@@ -41,18 +41,18 @@
 static void start(struct world *w, int i)
 {
 	struct node *d = &w->nodes[i];
-	struct peer_info self = {.boot = g_rand_int(w->rand), .ready = true};
+	struct peer_info self = {.boot_id = g_rand_int(w->rand), .ready = true};
 
 	g_snprintf(self.name, sizeof(self.name), "e%03d", i);
 	if (d->t.peers)
 		g_ptr_array_unref(d->t.peers);
 	peers_init(&d->t, &self);
-	d->t.roll_ms = 0;
+	d->t.roster_received_ms = 0;
 	d->rolled_ms = 0;
 	d->up = true;
 	/* What the members' records in the store tell. */
 	for (int k = 0; k < w->n; k++) {
-		struct peer_info p = {.boot = 0};
+		struct peer_info p = {.boot_id = 0};
 
 		g_snprintf(p.name, sizeof(p.name), "e%03d", k);
 		peers_add(&d->t, &p, w->now);
@@ -89,7 +89,7 @@
 	       g_rand_int_range(w->rand, 0, 100) >= w->loss_pct;
 }
 
-static void deliver(struct world *w, int a, int b, const struct roll *r)
+static void deliver(struct world *w, int a, int b, const struct roster *r)
 {
 	struct node *x = &w->nodes[a], *y = &w->nodes[b];
 	struct peer *to = peers_find(&x->t, y->t.self.name);
@@ -98,14 +98,15 @@
 	to->sent_ms = w->now;
 	if (!passes(w, a, b))
 		return;
-	if (peers_heard(&y->t, &x->t.self, w->now) && passes(w, b, a)) {
+	if (peers_note_heartbeat(&y->t, &x->t.self, w->now) &&
+	    passes(w, b, a)) {
 		peers_find(&y->t, x->t.self.name)->sent_ms = w->now;
-		peers_heard(&x->t, &y->t.self, w->now);
+		peers_note_heartbeat(&x->t, &y->t.self, w->now);
 	}
 	if (!r)
 		return;
 	unknown = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	hubs_take_roll(&y->t, r, unknown, w->now);
+	hubs_apply_roster(&y->t, r, unknown, w->now);
 	assert_int_equal(unknown->len, 0);
 	g_array_unref(unknown);
 }
@@ -113,31 +114,31 @@
 static void send_roll(struct world *w, int i)
 {
 	struct node *d = &w->nodes[i];
-	struct roll r;
+	struct roster r;
 
 	d->rolled_ms = w->now;
-	roll_init(&r);
-	hubs_write_roll(&d->t, &r, w->now);
+	roster_init(&r);
+	hubs_build_roster(&d->t, &r, w->now);
 	for (guint k = 0; k < d->t.peers->len; k++) {
 		struct peer *p = g_ptr_array_index(d->t.peers, k);
 
 		if (peer_alive(p, w->now))
 			deliver(w, i, index_of(p->info.name), &r);
 	}
-	roll_clear(&r);
+	roster_clear(&r);
 }
 
 static void tick(struct world *w, int i)
 {
 	struct node *d = &w->nodes[i];
 
-	hubs_mark(&d->t, w->now);
-	if (hubs_roll_due(&d->t, d->rolled_ms, w->now))
+	hubs_assign(&d->t, w->now);
+	if (hubs_roster_due(&d->t, d->rolled_ms, w->now))
 		send_roll(w, i);
 	for (guint k = 0; k < d->t.peers->len; k++) {
 		struct peer *p = g_ptr_array_index(d->t.peers, k);
 
-		if (hubs_beat_due(&d->t, p, w->now))
+		if (hubs_heartbeat_due(&d->t, p, w->now))
 			deliver(w, i, index_of(p->info.name), NULL);
 	}
 }
@@ -261,95 +262,98 @@
 		run_history(seed + i);
 }
 
-static void take(struct peer_table *t, const struct roll *r, int64_t now)
+static void take(struct peer_table *t, const struct roster *r, int64_t now)
 {
 	GArray *unknown = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
-	hubs_take_roll(t, r, unknown, now);
+	hubs_apply_roster(t, r, unknown, now);
 	g_array_unref(unknown);
 }
 
 /*
- * A digest is as good as the whole roll for who has that, and no good for
+ * A digest is as good as the whole roster for who has that, and no good for
  * who missed a change: one that left, one that came, one that got ready.
  */
 static void test_digest(void **state)
 {
 	struct world *w = world_new(MANY, 4);
 	struct peer_table *hub = &w->nodes[0].t, *t;
-	struct roll before, after;
+	struct roster before, after;
 
 	run_ms(w, 2000);
-	roll_init(&before);
-	hubs_write_roll(hub, &before, w->now);
+	roster_init(&before);
+	hubs_build_roster(hub, &before, w->now);
 	start(w, 30);
 	t = &w->nodes[30].t;
-	assert_false(hubs_take_digest(t, roll_digest(&before), w->now));
+	assert_false(hubs_apply_digest(t, roster_digest(&before), w->now));
 	take(t, &before, w->now);
-	assert_true(hubs_take_digest(t, roll_digest(&before), w->now + 1000));
-	/* It keeps all alive beyond the time of the roll itself. */
+	assert_true(
+		hubs_apply_digest(t, roster_digest(&before), w->now + 1000));
+	/* It keeps all alive beyond the time of the roster itself. */
 	assert_true(peer_alive(g_ptr_array_index(t->peers, 5), w->now + 2500));
 	assert_false(peer_alive(g_ptr_array_index(t->peers, 5), w->now + 2800));
 	for (int i = 0; i < 3; i++) {
-		roll_init(&after);
+		roster_init(&after);
 		g_array_append_vals(after.entries, before.entries->data,
 				    before.entries->len);
 		if (i == 0)
 			g_array_remove_index(after.entries, 7);
 		else if (i == 1)
-			g_array_index(after.entries, struct roll_entry, 7)
+			g_array_index(after.entries, struct roster_entry, 7)
 				.ready ^= true;
 		else
-			g_array_index(after.entries, struct roll_entry, 7).id++;
-		assert_false(hubs_take_digest(t, roll_digest(&after), w->now));
-		roll_clear(&after);
+			g_array_index(after.entries, struct roster_entry, 7)
+				.id++;
+		assert_false(
+			hubs_apply_digest(t, roster_digest(&after), w->now));
+		roster_clear(&after);
 	}
-	roll_clear(&before);
+	roster_clear(&before);
 	world_free(w);
 }
 
-/* A roll in parts: each says of its ids who lives, and of no others. */
+/* A roster in parts: each says of its ids who lives, and of no others. */
 static void test_parts(void **state)
 {
 	struct world *w = world_new(MANY, 3);
 	struct peer_table *t = &w->nodes[0].t;
 	GArray *unknown = g_array_new(FALSE, FALSE, sizeof(uint32_t));
-	struct roll all, part;
+	struct roster all, part;
 	unsigned alive = 0;
 	guint at = 0;
 
 	run_ms(w, 2000);
-	roll_init(&all);
-	hubs_write_roll(t, &all, w->now);
+	roster_init(&all);
+	hubs_build_roster(t, &all, w->now);
 	assert_int_equal(all.entries->len, MANY);
 	/* Another table hears only of the first part. */
 	start(w, 30);
 	t = &w->nodes[30].t;
-	roll_init(&part);
-	at = roll_part(&all, 0, 25, &part);
+	roster_init(&part);
+	at = roster_part(&all, 0, 25, &part);
 	assert_int_equal(at, 25);
 	assert_int_equal(part.lo, 0);
-	hubs_take_roll(t, &part, unknown, w->now);
+	hubs_apply_roster(t, &part, unknown, w->now);
 	for (guint i = 0; i < t->peers->len; i++)
 		alive += peer_alive(g_ptr_array_index(t->peers, i), w->now);
 	assert_in_range(alive, 24, 25);
-	roll_clear(&part);
+	roster_clear(&part);
 	/* The rest, and an id that nobody told of. */
 	while (at < all.entries->len) {
-		roll_init(&part);
-		at = roll_part(&all, at, 25, &part);
-		hubs_take_roll(t, &part, unknown, w->now);
-		roll_clear(&part);
+		roster_init(&part);
+		at = roster_part(&all, at, 25, &part);
+		hubs_apply_roster(t, &part, unknown, w->now);
+		roster_clear(&part);
 	}
 	alive = 0;
 	for (guint i = 0; i < t->peers->len; i++)
 		alive += peer_alive(g_ptr_array_index(t->peers, i), w->now);
 	assert_int_equal(alive, MANY - 1);
 	assert_int_equal(unknown->len, 0);
-	g_array_index(all.entries, struct roll_entry, 59).id = UINT32_MAX;
-	hubs_take_roll(t, &all, unknown, w->now);
+	g_array_index(all.entries, struct roster_entry, 59).id = UINT32_MAX;
+	hubs_apply_roster(t, &all, unknown, w->now);
 	assert_int_equal(unknown->len, 1);
-	roll_clear(&all);
+	roster_clear(&all);
 	g_array_unref(unknown);
 	world_free(w);
 }
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -8,7 +8,7 @@
 {
 	struct peer_info p = info(name, 1);
 
-	peers_heard(t, &p, now);
+	peers_note_heartbeat(t, &p, now);
 }
 
 static void test_rank_and_take_over(void **state)
@@ -28,7 +28,7 @@
 	/* e2 stops as planned. */
 	stopping = info("e2", 1);
 	stopping.leaving = true;
-	peers_heard(&t, &stopping, 3100);
+	peers_note_heartbeat(&t, &stopping, 3100);
 	assert_int_equal(peers_rank(&t, 3100), 0);
 }
 
@@ -57,7 +57,7 @@
 	GArray *out = peers_for_callers(t, now);
 
 	assert_int_equal(out->len, n);
-	assert_string_equal(g_array_index(out, struct peer_brief, at).name,
+	assert_string_equal(g_array_index(out, struct peer_endpoint, at).name,
 			    name);
 	g_array_unref(out);
 }
@@ -73,11 +73,12 @@
 	hear(&t, "e2", 1000);
 	out = peers_for_callers(&t, 1000);
 	assert_int_equal(out->len, 3);
-	assert_string_equal(g_array_index(out, struct peer_brief, 0).callers,
-			    "10.0.0.3:80");
+	assert_string_equal(
+		g_array_index(out, struct peer_endpoint, 0).caller_addr,
+		"10.0.0.3:80");
 	g_array_unref(out);
 	stopping.leaving = true;
-	peers_heard(&t, &stopping, 1100);
+	peers_note_heartbeat(&t, &stopping, 1100);
 	expect_told(&t, 1200, 2, 1, "e2");
 	/* A dead one leaves the list within two seconds. */
 	hear(&t, "e1", 2900);
@@ -98,20 +99,20 @@
 
 	self.ready = true;
 	peers_init(&t, &self);
-	peers_heard(&t, &other, 1000);
+	peers_note_heartbeat(&t, &other, 1000);
 	hear(&t, "e2", 1000);
 	expect_told(&t, 1000, 1, 0, "e3");
-	assert_null(peers_informant(&t, 0, 1000));
+	assert_null(peers_pick_source(&t, 0, 1000));
 	other.ready = true;
-	peers_heard(&t, &other, 1000);
+	peers_note_heartbeat(&t, &other, 1000);
 	expect_told(&t, 1000, 2, 1, "e1");
 	for (unsigned turn = 0; turn < 4; turn++)
-		assert_string_equal(peers_informant(&t, turn, 1000)->info.name,
-				    "e1");
+		assert_string_equal(
+			peers_pick_source(&t, turn, 1000)->info.name, "e1");
 	t.self.ready = false;
 	expect_told(&t, 1000, 1, 0, "e1");
 	other.ready = false;
-	peers_heard(&t, &other, 1000);
+	peers_note_heartbeat(&t, &other, 1000);
 	expect_told(&t, 1000, 3, 0, "e3");
 }
 
@@ -121,13 +122,13 @@
 	struct peer_table t;
 
 	peers_init(&t, &self);
-	assert_true(peers_heard(&t, &p, 1000));
-	assert_false(peers_heard(&t, &p, 1500));
-	p.boot = 2;
-	assert_true(peers_heard(&t, &p, 1600));
-	assert_true(peers_heard(&t, &p, 9000));
+	assert_true(peers_note_heartbeat(&t, &p, 1000));
+	assert_false(peers_note_heartbeat(&t, &p, 1500));
+	p.boot_id = 2;
+	assert_true(peers_note_heartbeat(&t, &p, 1600));
+	assert_true(peers_note_heartbeat(&t, &p, 9000));
 	/* Its own datagrams don't make it a peer of itself. */
-	assert_false(peers_heard(&t, &self, 9000));
+	assert_false(peers_note_heartbeat(&t, &self, 9000));
 	assert_int_equal(peers_count(&t, 9000), 2);
 	assert_int_equal(peers_count(&t, 90000), 1);
 }
@@ -162,7 +163,7 @@
 	assert_int_equal(g_array_index(all, struct limit_sharer, 1).heard, 0);
 	g_array_unref(all);
 	stopping.leaving = true;
-	peers_heard(&t, &stopping, 2000);
+	peers_note_heartbeat(&t, &stopping, 2000);
 	assert_int_equal(count_sharers(&t, 8900), 3);
 	assert_int_equal(count_sharers(&t, 9000), 2);
 	/* It starts anew. */
--- a/tests/test_record_check.c
+++ b/tests/test_record_check.c
@@ -52,7 +52,7 @@
 		g_snprintf(name, sizeof(name), "e%d", i);
 		p = info(name, 100 + (uint64_t)i);
 		p.records_era = 0;
-		peers_heard(&f->channel.peers, &p, f->now_ms);
+		peers_note_heartbeat(&f->channel.peers, &p, f->now_ms);
 	}
 	crash_watch_start(&f->crashes, f->store->loop, &f->store->endpoint,
 			  &f->channel, on_verdict, f);
@@ -104,12 +104,13 @@
 		struct peer_info p = info(names[i], boots[i]);
 		struct buf value = {0};
 
-		gossip_write_beat(&value, &p);
+		gossip_write_heartbeat(&value, &p);
 		pack_item(&pk, names[i], &value);
 		buf_free(&value);
 	}
 	for (size_t i = 0; i < ndigests; i++) {
-		struct crash_news news = {CRASH_NEWS_QUARANTINE, digests[i], 1};
+		struct crash_notice news = {CRASH_NOTICE_QUARANTINE, digests[i],
+					    1};
 		struct peer_info p = info("e9", 1);
 		struct buf value = {0};
 
@@ -146,7 +147,7 @@
 /* As if it had stood in the store before. */
 static void quarantine(struct fixture *f, uint64_t digest)
 {
-	struct crash_news news = {CRASH_NEWS_QUARANTINE, digest, 1};
+	struct crash_notice news = {CRASH_NOTICE_QUARANTINE, digest, 1};
 	GArray *a = g_array_new(FALSE, FALSE, sizeof(news));
 
 	g_array_append_val(a, news);
@@ -201,7 +202,7 @@
 	assert_int_equal(f->check.store.call, STORE_NO_CALL);
 	/* The first has ended, and another has done it. */
 	p.records_era = 2;
-	peers_heard(&f->channel.peers, &p, f->now_ms);
+	peers_note_heartbeat(&f->channel.peers, &p, f->now_ms);
 	record_check_tick(&f->check, true, f->now_ms + SETTLED_MS);
 	assert_int_equal(f->check.store.call, STORE_NO_CALL);
 	/* In the next era nobody has. */
--- a/tests/test_advise.c
+++ b/tests/test_select_instances.c
@@ -1,12 +1,12 @@
-/* Tests of member/advise: which instances a caller is told of. */
+/* Tests of member/select_instances: which instances a caller is told of. */
 #include "tests/unit.h"
 
-#include "member/advise.h"
+#include "member/select_instances.h"
 
 enum { ALL = 100, ANSWER = 64 };
 
 /* `counts` instances in each of the data centres dc-0, dc-1 and so on. */
-static size_t make(struct peer_brief *all, const size_t *counts, size_t dcs)
+static size_t make(struct peer_endpoint *all, const size_t *counts, size_t dcs)
 {
 	size_t n = 0;
 
@@ -20,7 +20,7 @@
 	return n;
 }
 
-static size_t of_dc(const struct peer_brief **out, size_t n, const char *dc)
+static size_t of_dc(const struct peer_endpoint **out, size_t n, const char *dc)
 {
 	size_t count = 0;
 
@@ -31,37 +31,43 @@
 
 static void test_own_dc(void **state)
 {
-	struct peer_brief all[ALL];
-	const struct peer_brief *out[ANSWER];
+	struct peer_endpoint all[ALL];
+	const struct peer_endpoint *out[ANSWER];
 	GRand *rand = g_rand_new_with_seed(1);
 	size_t n = make(all, (size_t[]){30, 8, 3}, 3);
 
-	assert_int_equal(advise(all, n, "dc-0", rand, out, ANSWER), 30);
+	assert_int_equal(select_instances(all, n, "dc-0", rand, out, ANSWER),
+			 30);
 	assert_int_equal(of_dc(out, 30, "dc-0"), 30);
-	assert_int_equal(advise(all, n, "dc-1", rand, out, ANSWER), 8);
+	assert_int_equal(select_instances(all, n, "dc-1", rand, out, ANSWER),
+			 8);
 	assert_int_equal(of_dc(out, 8, "dc-1"), 8);
 	/* Three may all be lost: the others are named as well. */
-	assert_int_equal(advise(all, n, "dc-2", rand, out, ANSWER), 41);
+	assert_int_equal(select_instances(all, n, "dc-2", rand, out, ANSWER),
+			 41);
 	assert_int_equal(of_dc(out, 41, "dc-2"), 3);
 	/* A caller from elsewhere. */
-	assert_int_equal(advise(all, n, "dc-9", rand, out, ANSWER), 41);
-	assert_int_equal(advise(all, n, "", rand, out, ANSWER), 41);
-	assert_int_equal(advise(all, 0, "dc-0", rand, out, ANSWER), 0);
+	assert_int_equal(select_instances(all, n, "dc-9", rand, out, ANSWER),
+			 41);
+	assert_int_equal(select_instances(all, n, "", rand, out, ANSWER), 41);
+	assert_int_equal(select_instances(all, 0, "dc-0", rand, out, ANSWER),
+			 0);
 	g_rand_free(rand);
 }
 
 /* More than an answer holds: each is named at some time, none twice. */
 static void test_more_than_fit(void **state)
 {
-	struct peer_brief all[ALL];
-	const struct peer_brief *out[ANSWER];
+	struct peer_endpoint all[ALL];
+	const struct peer_endpoint *out[ANSWER];
 	GRand *rand = g_rand_new_with_seed(2);
 	size_t n = make(all, (size_t[]){90, 2}, 2);
 	unsigned seen[ALL] = {0};
 
 	for (int i = 0; i < 100; i++) {
-		assert_int_equal(advise(all, n, "dc-1", rand, out, ANSWER),
-				 ANSWER);
+		assert_int_equal(
+			select_instances(all, n, "dc-1", rand, out, ANSWER),
+			ANSWER);
 		for (size_t k = 0; k < ANSWER; k++)
 			seen[out[k] - all]++;
 	}
--- a/traffic/end_check.c
+++ b/traffic/crash_check.c
@@ -5,7 +5,7 @@
 #include "core/mechanisms.h"
 #include "misc/clock.h"
 #include "platform/exchange.h"
-#include "traffic/end_check.h"
+#include "traffic/crash_check.h"
 #include "traffic/feedback.h"
 
 /*
@@ -24,11 +24,11 @@
 	 * and so on, for 3 s in all: until it is back, or off the list.
 	 */
 	AGAIN_MS = 100,
-	QUESTIONS_MAX = 6,
+	PROBES_MAX = 6,
 };
 
 /* The question to one server, for all requests that broke there meanwhile. */
-struct end_check {
+struct crash_check {
 	struct traffic *traffic;
 	struct backend *backend;
 	struct http_client http;
@@ -38,12 +38,12 @@
 	int64_t since_ms;
 };
 
-static void report(struct traffic *t, enum crash_news_kind kind,
+static void report(struct traffic *t, enum crash_notice_kind kind,
 		   uint64_t digest, uint32_t detail)
 {
-	struct crash_news *news = g_new(struct crash_news, 1);
+	struct crash_notice *news = g_new(struct crash_notice, 1);
 
-	*news = (struct crash_news){kind, digest, detail};
+	*news = (struct crash_notice){kind, digest, detail};
 	/* With a full queue it is lost like a datagram. */
 	if (mailbox_send(t->control, FROM_TRAFFIC_CRASH, news))
 		g_free(news);
@@ -54,7 +54,7 @@
 		     uint64_t digest)
 {
 	if (!quarantine_forgives(&t->quarantine, digest))
-		report(t, CRASH_NEWS_END, digest,
+		report(t, CRASH_NOTICE_CRASHED, digest,
 		       backend_start_hash(&b->entry));
 }
 
@@ -68,7 +68,7 @@
 }
 
 /* Ends the check. */
-static void finish(struct end_check *c, bool ended, const char *outcome,
+static void finish(struct crash_check *c, bool ended, const char *outcome,
 		   const char *why)
 {
 	struct traffic *t = c->traffic;
@@ -97,14 +97,14 @@
  * Nothing is known yet. A server that left the list meanwhile, with a broken
  * connection and no answer since, has ended.
  */
-static void unsure(struct end_check *c, const char *why)
+static void unsure(struct crash_check *c, const char *why)
 {
 	http_client_close(&c->http);
 	if (c->backend->gone) {
 		finish(c, true, "ended", "off the list");
 		return;
 	}
-	if (c->questions >= QUESTIONS_MAX || is_backing_off(c->backend)) {
+	if (c->questions >= PROBES_MAX || is_backing_off(c->backend)) {
 		finish(c, false, "unknown", why);
 		return;
 	}
@@ -119,7 +119,7 @@
 
 static void on_response(void *priv, struct http_message *m)
 {
-	struct end_check *c = priv;
+	struct crash_check *c = priv;
 	struct answer_info info;
 	bool named, same;
 
@@ -147,7 +147,7 @@
 
 static bool may_send(void *priv)
 {
-	const struct end_check *c = priv;
+	const struct crash_check *c = priv;
 
 	return !is_backing_off(c->backend);
 }
@@ -158,7 +158,7 @@
 					   .may_send = may_send};
 
 /* Asks on a new connection. Returns 0 or a negative errno. */
-static int ask(struct end_check *c)
+static int ask(struct crash_check *c)
 {
 	struct http_limits limits = {.head_max = HEAD_MAX,
 				     .body_max = BODY_MAX};
@@ -191,7 +191,7 @@
 
 static void on_again(struct ev_loop *loop, ev_timer *timer, int revents)
 {
-	struct end_check *c = timer->data;
+	struct crash_check *c = timer->data;
 	bool skip = c->backend->gone || is_backing_off(c->backend) ||
 		    !may_ask(c->traffic);
 	int rc = skip ? -EBUSY : ask(c);
@@ -201,13 +201,13 @@
 }
 
 /* Begins a check; NULL: nothing may be asked, or no socket is to be had. */
-static struct end_check *begin(struct traffic *t, struct backend *b)
+static struct crash_check *begin(struct traffic *t, struct backend *b)
 {
-	struct end_check *c;
+	struct crash_check *c;
 
 	if (is_backing_off(b) || !may_ask(t))
 		return NULL;
-	c = g_new0(struct end_check, 1);
+	c = g_new0(struct crash_check, 1);
 	c->traffic = t;
 	c->backend = b;
 	c->since_ms = clock_ms();
@@ -223,12 +223,12 @@
 }
 
 /*
- * end_check_begin() is called when a connection to b broke while it had a
+ * crash_check_begin() is called when a connection to b broke while it had a
  * request. A server that drains or is off the list ends as planned.
  */
-void end_check_begin(struct traffic *t, struct backend *b, uint64_t digest)
+void crash_check_begin(struct traffic *t, struct backend *b, uint64_t digest)
 {
-	struct end_check *c = b->check;
+	struct crash_check *c = b->check;
 
 	if (!mechanisms.quarantine || backend_is_draining(b))
 		return;
@@ -248,12 +248,12 @@
 }
 
 /*
- * end_check_answered() takes in that a server has run a request and lives: if
+ * crash_check_answered() takes in that a server has run a request and lives: if
  * something is held against it the others hear of it.
  */
-void end_check_answered(struct traffic *t, uint64_t digest)
+void crash_check_answered(struct traffic *t, uint64_t digest)
 {
 	quarantine_note_answer(&t->quarantine, digest);
 	if (quarantine_kind(&t->quarantine, digest) != VERDICT_CLEAR)
-		report(t, CRASH_NEWS_ANSWERED, digest, 0);
+		report(t, CRASH_NOTICE_ANSWERED, digest, 0);
 }
--- a/traffic/drain_news.c
+++ b/traffic/drain_gossip.c
@@ -1,6 +1,6 @@
 #include "common/event.h"
 #include "misc/clock.h"
-#include "traffic/drain_news.h"
+#include "traffic/drain_gossip.h"
 
 enum {
 	TELLS = 3, /* datagrams may be lost */
@@ -75,15 +75,15 @@
 		arm(t);
 }
 
-/* drain_news_init() prepares the timer. */
-void drain_news_init(struct traffic *t)
+/* drain_gossip_init() prepares the timer. */
+void drain_gossip_init(struct traffic *t)
 {
 	ev_init(&t->drain_timer, on_tick);
 	t->drain_timer.data = t;
 }
 
-/* drain_news_announced() is called when b announced it in a response. */
-void drain_news_announced(struct traffic *t, struct backend *b)
+/* drain_gossip_announced() is called when b announced it in a response. */
+void drain_gossip_announced(struct traffic *t, struct backend *b)
 {
 	struct server_state *m = b->state;
 
@@ -97,8 +97,8 @@
 		arm(t);
 }
 
-/* drain_news_received() applies what a peer has passed on. */
-void drain_news_received(struct traffic *t, const struct drain_news *news)
+/* drain_gossip_received() applies what a peer has passed on. */
+void drain_gossip_received(struct traffic *t, const struct drain_news *news)
 {
 	for (unsigned i = 0; i < news->n; i++) {
 		const struct drain_item *it = &news->items[i];
@@ -116,8 +116,8 @@
 	}
 }
 
-/* drain_news_peers_changed() tells new peers of the servers that are still listed. */
-void drain_news_peers_changed(struct traffic *t)
+/* drain_gossip_peers_changed() tells new peers of the servers that are still listed. */
+void drain_gossip_peers_changed(struct traffic *t)
 {
 	int64_t now_ms = clock_ms();
 	GHashTableIter it;
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -1,6 +1,6 @@
 #include "common/event.h"
 #include "misc/clock.h"
-#include "traffic/drain_news.h"
+#include "traffic/drain_gossip.h"
 #include "traffic/feedback.h"
 #include "traffic/limits.h"
 
@@ -53,14 +53,13 @@
 static void apply_limit(struct traffic *t, struct backend *b,
 			const struct feedback *f)
 {
-	bool own = f->info.sealed || f->info.not_run || f->question;
+	bool own = f->info.sealed || f->info.not_run || f->probe;
 
-	if (f->awaited && own)
-		limits_answer(t, b, &f->info, f->sent_ms,
-			      f->question ? LIMIT_BY_QUESTION
-					  : LIMIT_BY_ANSWER);
-	else if (!f->awaited && f->info.limit == LIMIT_NAMED)
-		limits_answer(t, b, &f->info, 0, LIMIT_BY_ANSWER);
+	if (f->solicited && own)
+		limits_response(t, b, &f->info, f->sent_ms,
+				f->probe ? LIMIT_BY_QUESTION : LIMIT_BY_ANSWER);
+	else if (!f->solicited && f->info.limit == LIMIT_NAMED)
+		limits_response(t, b, &f->info, 0, LIMIT_BY_ANSWER);
 }
 
 /* feedback_apply() takes in a response from b's address. */
@@ -79,5 +78,5 @@
 	if (info->draining == DRAINING_INVALID)
 		log_invalid(t, b, "draining", info->draining_text);
 	else if (info->draining == DRAINING_SET)
-		drain_news_announced(t, b);
+		drain_gossip_announced(t, b);
 }
--- a/traffic/feedback.h
+++ b/traffic/feedback.h
@@ -11,8 +11,8 @@
 /* A response from a server's address. */
 struct feedback {
 	struct answer_info info;
-	bool awaited;	 /* it answers what was last sent on its connection */
-	bool question;	 /* which was a load question */
+	bool solicited;	 /* it answers what was last sent on its connection */
+	bool probe;	 /* which was a load question */
 	int64_t sent_ms; /* and left then */
 };
 
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -8,7 +8,7 @@
  * An instance whose own requests missed room so lately gives nothing up: they go
  * first, and where all are short what goes round helps nobody.
  */
-enum { SHORT_MS = 1000 };
+enum { SHORTAGE_MS = 1000 };
 
 /* Whose send it is: this lifetime's own, a peer's, or the one that looks. */
 static enum limit_payer pay(struct backend_limit *l, int64_t now_ms)
@@ -58,10 +58,10 @@
 }
 
 /*
- * limit_sends_take() takes a send from its server's limit, before it leaves.
+ * limit_sends_charge() takes a send from its server's limit, before it leaves.
  * Whatever its cause, it costs the server the same.
  */
-void limit_sends_take(struct send *s)
+void limit_sends_charge(struct send *s)
 {
 	struct backend *b = s->backend;
 
@@ -72,8 +72,8 @@
 	log_send(s);
 }
 
-/* limit_sends_ended() says that a send can't reach its server any more. */
-void limit_sends_ended(struct send *s, int64_t now_ms)
+/* limit_sends_finish() says that a send can't reach its server any more. */
+void limit_sends_finish(struct send *s, int64_t now_ms)
 {
 	if (s->payer == LIMIT_PAYS_OWN)
 		limit_share_end(&s->backend->state->limit->share, now_ms);
@@ -90,10 +90,11 @@
 }
 
 /*
- * limit_sends_want() asks peers for a send to a server of s, if it is time, and
+ * limit_sends_request_grant() asks peers for a send to a server of s, if it is time, and
  * tells until when the last question may bring one.
  */
-int64_t limit_sends_want(struct traffic *t, struct service *s, int64_t now_ms)
+int64_t limit_sends_request_grant(struct traffic *t, struct service *s,
+				  int64_t now_ms)
 {
 	struct limit_want *w = &s->want;
 	struct limit_call call = {.to = w->giver, .what = g_str_hash(s->name)};
@@ -152,7 +153,7 @@
 	struct backend *b;
 
 	if (!s || s->waiting.length ||
-	    (s->pressed_ms && now_ms - s->pressed_ms < SHORT_MS))
+	    (s->pressed_ms && now_ms - s->pressed_ms < SHORTAGE_MS))
 		return;
 	b = most_to_give(s, now_ms);
 	if (!b)
@@ -182,8 +183,8 @@
 	request_use_room(t, b);
 }
 
-/* limit_sends_called() takes in what a peer asks for, or grants. */
-void limit_sends_called(struct traffic *t, const struct limit_call *call)
+/* limit_sends_peer_message() takes in what a peer asks for, or grants. */
+void limit_sends_peer_message(struct traffic *t, const struct limit_call *call)
 {
 	if (call->grant)
 		take_grant(t, call);
--- a/traffic/limit_sends.h
+++ b/traffic/limit_sends.h
@@ -7,9 +7,10 @@
 
 #include "traffic/request.h"
 
-void limit_sends_take(struct send *s);
-void limit_sends_ended(struct send *s, int64_t now_ms);
-int64_t limit_sends_want(struct traffic *t, struct service *s, int64_t now_ms);
-void limit_sends_called(struct traffic *t, const struct limit_call *call);
+void limit_sends_charge(struct send *s);
+void limit_sends_finish(struct send *s, int64_t now_ms);
+int64_t limit_sends_request_grant(struct traffic *t, struct service *s,
+				  int64_t now_ms);
+void limit_sends_peer_message(struct traffic *t, const struct limit_call *call);
 
 #endif
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -11,14 +11,14 @@
 	 * Nobody has told for so long that a limit stands: those who hold it tell
 	 * the others, some a little sooner than the rest, who then need not.
 	 */
-	TELL_AGAIN_MS = 2000,
-	TELL_SPREAD_MS = 1000,
+	RESEND_MS = 2000,
+	RESEND_JITTER_MS = 1000,
 	/*
 	 * An end is told again so often, after so long each: a peer that had just
 	 * heard that the limit stands needs a word that is surely newer.
 	 */
-	END_TELLS = 3,
-	END_AGAIN_MS = 1000,
+	END_SENDS = 3,
+	END_RESEND_MS = 1000,
 	/* An instance that is new is told at once, by some of the others. */
 	TELL_NEW_MS = 200,
 	/*
@@ -27,12 +27,12 @@
 	 */
 	ON_ITS_WAY_MS = 300,
 	/* For each instance: so that the first is heard of before the second. */
-	LOOK_SPREAD_MS = 2000,
-	LOOK_AGAIN_MS = 30 * 1000, /* the look brought no answer */
+	PROBE_SPREAD_MS = 2000,
+	PROBE_RETRY_MS = 30 * 1000, /* the look brought no answer */
 };
 
 /* A limit that differs by this part of itself is told at once. */
-static const double TOLD_STEP = 0.1;
+static const double MIN_REPORTED_CHANGE = 0.1;
 
 static void log_change(const struct backend *b, enum limit_change change,
 		       const struct limit_word *w, double before)
@@ -98,7 +98,7 @@
 	double step = fabs(l->said.per_s - l->told_per_s);
 
 	if (change == LIMIT_CHANGED)
-		return step > TOLD_STEP * l->told_per_s;
+		return step > MIN_REPORTED_CHANGE * l->told_per_s;
 	return change != LIMIT_SAME;
 }
 
@@ -151,9 +151,9 @@
 /* It was told: if nobody tells it again, this instance does after a while. */
 static void was_told(struct traffic *t, struct backend *b, int64_t now_ms)
 {
-	int spread = g_rand_int_range(t->rand, 0, TELL_SPREAD_MS);
+	int spread = g_rand_int_range(t->rand, 0, RESEND_JITTER_MS);
 
-	b->state->limit->tell_ms = now_ms + TELL_AGAIN_MS + spread;
+	b->state->limit->tell_ms = now_ms + RESEND_MS + spread;
 }
 
 /* Adds what is known of b's limit. */
@@ -172,12 +172,12 @@
 }
 
 /*
- * limits_answer() takes in what an answer of b says of its limit; it was asked
+ * limits_response() takes in what an answer of b says of its limit; it was asked
  * for at asked_ms. What is new is told to the peers at once.
  */
-void limits_answer(struct traffic *t, struct backend *b,
-		   const struct answer_info *info, int64_t asked_ms,
-		   enum limit_source source)
+void limits_response(struct traffic *t, struct backend *b,
+		     const struct answer_info *info, int64_t asked_ms,
+		     enum limit_source source)
 {
 	struct limit_news news = {.n = 0};
 	struct limit_word w = {
@@ -199,8 +199,8 @@
 		return;
 	was_told(t, b, w.heard_ms);
 	if (!b->state->limit->said.named) {
-		b->state->limit->end_tells = END_TELLS;
-		b->state->limit->tell_ms = w.heard_ms + END_AGAIN_MS;
+		b->state->limit->end_tells = END_SENDS;
+		b->state->limit->tell_ms = w.heard_ms + END_RESEND_MS;
 	}
 	add_item(&news, b, w.heard_ms);
 	send_news(t, &news);
@@ -222,8 +222,8 @@
 	return NULL;
 }
 
-/* limits_told() takes in what a peer says that servers have said. */
-void limits_told(struct traffic *t, const struct limit_news *news)
+/* limits_peer_update() takes in what a peer says that servers have said. */
+void limits_peer_update(struct traffic *t, const struct limit_news *news)
 {
 	int64_t now_ms = clock_ms();
 
@@ -279,11 +279,11 @@
 		l->look_ms =
 			now_ms +
 			g_rand_int_range(t->rand, 0,
-					 LOOK_SPREAD_MS *
+					 PROBE_SPREAD_MS *
 						 (int)t->peers.sharers->len);
 	if (now_ms < l->look_ms)
 		return;
-	l->look_ms = now_ms + LOOK_AGAIN_MS;
+	l->look_ms = now_ms + PROBE_RETRY_MS;
 	l->looks = true;
 }
 
@@ -305,7 +305,7 @@
 		return;
 	}
 	b->state->limit->end_tells--;
-	b->state->limit->tell_ms = now_ms + END_AGAIN_MS;
+	b->state->limit->tell_ms = now_ms + END_RESEND_MS;
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int revents)
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -5,7 +5,7 @@
 #include "core/mechanisms.h"
 #include "core/outlier.h"
 #include "misc/clock.h"
-#include "traffic/end_check.h"
+#include "traffic/crash_check.h"
 #include "traffic/limit_sends.h"
 #include "traffic/request.h"
 #include "traffic/share.h"
@@ -25,7 +25,7 @@
 	if (s->extra)
 		budget_end(&s->request->service->budget, &t->budget_rule,
 			   clock_boot_ms());
-	limit_sends_ended(s, clock_ms());
+	limit_sends_finish(s, clock_ms());
 	s->backend->in_flight--;
 	share_changed(t, s->backend->service);
 }
@@ -139,7 +139,7 @@
 		on_not_run(r, s, status);
 		return;
 	}
-	end_check_answered(r->traffic, r->digest);
+	crash_check_answered(r->traffic, r->digest);
 	server_state_answered(s->backend->state, s->sent_ms);
 	if (m->status / 100 == 2 && !info->sealed) {
 		/* Not the server's own answer, whatever it looks like. */
@@ -169,7 +169,7 @@
 	s->upstream = NULL;
 	if (s->extra)
 		budget_give_back(&r->service->budget);
-	limit_sends_ended(s, now_ms);
+	limit_sends_finish(s, now_ms);
 	s->backend->in_flight--;
 	share_changed(r->traffic, s->backend->service);
 	r->undenied--;
@@ -203,7 +203,7 @@
 		request_log_broken(r, s, err);
 		/* Bytes that are no answer come from one that lives. */
 		if (err != -EPROTO)
-			end_check_begin(r->traffic, s->backend, r->digest);
+			crash_check_begin(r->traffic, s->backend, r->digest);
 	}
 	outlier_note(s->backend,
 		     err == -ETIMEDOUT ? TROUBLE_TIMEOUT : TROUBLE_BROKEN,
@@ -274,7 +274,7 @@
 	share_changed(r->traffic, b->service);
 	r->undenied++;
 	request_log_sent(r, s, now_ms);
-	limit_sends_take(s);
+	limit_sends_charge(s);
 	/* Its report is older than this request. */
 	if (b->load.at_ms)
 		b->load.running++;
--- a/traffic/request_wait.c
+++ b/traffic/request_wait.c
@@ -102,7 +102,8 @@
 /* A request waits once for the answers to a question. */
 static bool may_get_grant(struct request *r, int64_t now_ms)
 {
-	int64_t until = limit_sends_want(r->traffic, r->service, now_ms);
+	int64_t until =
+		limit_sends_request_grant(r->traffic, r->service, now_ms);
 
 	if (r->grant_until_ms || now_ms >= until ||
 	    now_ms >= wait_end_ms(r, now_ms))
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -8,9 +8,9 @@
 #include "core/mechanisms.h"
 #include "core/policy.h"
 #include "misc/clock.h"
-#include "member/advise.h"
+#include "member/select_instances.h"
 #include "platform/directory.h"
-#include "traffic/drain_news.h"
+#include "traffic/drain_gossip.h"
 #include "traffic/limit_sends.h"
 #include "traffic/limits.h"
 #include "traffic/metrics.h"
@@ -96,7 +96,7 @@
 			 struct http_message *m)
 {
 	struct traffic *t = priv;
-	const struct peer_brief *named[DIRECTORY_MAX];
+	const struct peer_endpoint *named[DIRECTORY_MAX];
 	struct lstr addrs[DIRECTORY_MAX];
 	struct buf body = {0};
 	char dc[PEER_NAME_MAX];
@@ -110,11 +110,12 @@
 	}
 	t->counters.directory++;
 	if (t->peers.named)
-		n = advise(
-			(const struct peer_brief *)(void *)t->peers.named->data,
-			t->peers.named->len, dc, t->rand, named, DIRECTORY_MAX);
+		n = select_instances((const struct peer_endpoint *)(void *)
+					     t->peers.named->data,
+				     t->peers.named->len, dc, t->rand, named,
+				     DIRECTORY_MAX);
 	for (size_t i = 0; i < n; i++)
-		addrs[i] = lstr0(named[i]->callers);
+		addrs[i] = lstr0(named[i]->caller_addr);
 	directory_write(&body, addrs, n, t->bounds.directory_keep_s);
 	reply_plain(c, 200, LSTR("Content-Type: application/msgpack\r\n"),
 		    buf_lstr(&body));
@@ -266,7 +267,7 @@
 	t->budget_rule.instances = t->most_instances;
 	t->ask_rule.instances = t->most_instances;
 	limits_peers_changed(t);
-	drain_news_peers_changed(t);
+	drain_gossip_peers_changed(t);
 }
 
 static void receive(void *priv, struct mail *m)
@@ -290,15 +291,15 @@
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_LIMITS:
-		limits_told(t, m->data);
+		limits_peer_update(t, m->data);
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_DRAIN:
-		drain_news_received(t, m->data);
+		drain_gossip_received(t, m->data);
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_LIMIT_CALL:
-		limit_sends_called(t, m->data);
+		limit_sends_peer_message(t, m->data);
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_BOUNDS:
@@ -383,7 +384,7 @@
 	take_bounds(t, &s->bounds);
 	share_init(t);
 	limits_init(t);
-	drain_news_init(t);
+	drain_gossip_init(t);
 	dedup_init(&t->dedup, DEDUP_KEYS_MAX);
 	quarantine_init(&t->quarantine);
 	backend_set_init(&t->backends, on_backend_gone, t);
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -55,13 +55,12 @@
 static enum http_verdict judge(void *priv, const struct http_message *m)
 {
 	struct upstream *u = priv;
-	struct feedback answer = {.sent_ms = u->sent_ms,
-				  .question = u->question};
+	struct feedback answer = {.sent_ms = u->sent_ms, .probe = u->question};
 	enum http_verdict verdict;
 
 	exchange_read_answer(m, &answer.info);
 	verdict = u->ops->judge(u->owner, &answer.info);
-	answer.awaited = verdict == HTTP_TAKE;
+	answer.solicited = verdict == HTTP_TAKE;
 	feedback_apply(u->traffic, u->backend, &answer);
 	return verdict;
 }
@@ -78,7 +77,7 @@
 static void on_unsolicited(void *priv, const struct http_message *m)
 {
 	struct upstream *u = priv;
-	struct feedback answer = {.awaited = false};
+	struct feedback answer = {.solicited = false};
 
 	exchange_read_answer(m, &answer.info);
 	feedback_apply(u->traffic, u->backend, &answer);
