--- a/member/gossip.c
+++ b/member/gossip.c
@@ -3,12 +3,12 @@
 #include "member/gossip.h"
 #include "misc/codec.h"
 
-/* Positions in the arrays on the wire. */
+/* Lengths of the arrays on the wire. */
 enum {
 	SENDER_FIELDS = 17,
 	FEED_FIELDS = 9,
 	CHANGE_FIELDS = 13,
-	CHANGE_ID_FIELDS = 4, /* of one that names a server only */
+	CHANGE_ID_FIELDS = 4, /* of a change with an id only */
 	ROSTER_FIELDS = 4,
 	CRASH_FIELDS = 3,
 	LOAD_FIELDS = 3,
@@ -18,14 +18,18 @@
 };
 
 enum {
-	/* Room that one change takes at most, with names of usual length. */
+	/* Maximum size of a change with names of usual length. */
 	CHANGE_MAX_BYTES = 190,
-	/* And what stands before the changes. */
+	/* Size of everything before the changes. */
 	FEED_HEADER_BYTES = 240,
-	/* Entries of a roster that fit one, behind its sender's names. */
+	/*
+	 * Roster entries per datagram; 290 bytes are left for the sender and
+	 * the headers, an entry takes 5.
+	 */
 	ROSTER_PART_ENTRIES = (GOSSIP_MAX - 290) / 5,
 };
 
+/* Packs an IPv4 address and port in host byte order. */
 static void pack_addr(msgpack_packer *pk, const struct sockaddr_in *sa)
 {
 	msgpack_pack_uint32(pk, ntohl(sa->sin_addr.s_addr));
@@ -56,17 +60,19 @@
 	msgpack_pack_uint32(pk, p->config.digest);
 }
 
+/* Begins a datagram: its kind and the sender's peer_info. */
 static void pack_sender(msgpack_packer *pk, enum gossip_kind kind,
 			const struct peer_info *p)
 {
-	bool alone = kind == GOSSIP_HEARTBEAT || kind == GOSSIP_ROSTER_REQUEST;
+	bool no_body =
+		kind == GOSSIP_HEARTBEAT || kind == GOSSIP_ROSTER_REQUEST;
 
-	msgpack_pack_array(pk, SENDER_FIELDS + !alone);
+	msgpack_pack_array(pk, SENDER_FIELDS + !no_body);
 	msgpack_pack_int(pk, kind);
 	pack_info(pk, p);
 }
 
-/* gossip_write_heartbeat() writes a heartbeat. */
+/* Writes a heartbeat. */
 void gossip_write_heartbeat(struct buf *out, const struct peer_info *self)
 {
 	msgpack_packer pk;
@@ -75,7 +81,7 @@
 	pack_sender(&pk, GOSSIP_HEARTBEAT, self);
 }
 
-/* gossip_pack_change() writes one change of the list. */
+/* Packs one change of the backend list. */
 void gossip_pack_change(msgpack_packer *pk, const struct backend_change *c)
 {
 	const struct backend_entry *e = &c->entry;
@@ -106,13 +112,13 @@
 }
 
 /*
- * gossip_feed_first() chooses the first change to send: none that the peers
- * were not yet sent, from `told` on, is left out, and older ones are
- * repeated as far as one datagram goes, against loss. Beyond
- * changes_max the oldest are left out all the same.
+ * Returns the index of the first change to send. Everything from `sent_to` on,
+ * which peers have not been sent yet, is included; as many older changes as fit
+ * into one datagram are repeated in case they were lost. Never more than
+ * changes_max: beyond that the oldest are left out.
  */
 guint gossip_feed_first(const struct backend_feed *feed,
-			struct store_position told, guint changes_max)
+			struct store_position sent_to, guint changes_max)
 {
 	guint fit = (GOSSIP_MAX - FEED_HEADER_BYTES) / CHANGE_MAX_BYTES;
 	guint len = feed->changes->len;
@@ -120,12 +126,15 @@
 	guint least = len > changes_max ? len - changes_max : 0;
 
 	while (begin > least &&
-	       store_position_cmp(pos_at(feed, begin - 1), told) >= 0)
+	       store_position_cmp(pos_at(feed, begin - 1), sent_to) >= 0)
 		begin--;
 	return begin;
 }
 
-/* Packs changes from `begin` on as far as they fit; returns the end. */
+/*
+ * Packs changes starting at `begin` until the datagram is full. Returns the
+ * index after the last.
+ */
 static guint pack_changes(struct buf *out, const struct backend_feed *feed,
 			  guint begin)
 {
@@ -141,7 +150,7 @@
 	return end;
 }
 
-/* Where the part that begins with a change goes on from. */
+/* Returns the position where the part starting at change `begin` continues. */
 static struct store_position part_from(const struct backend_feed *feed,
 				       guint begin)
 {
@@ -151,14 +160,14 @@
 		return feed->from;
 	after = store_position_after(pos_at(feed, begin - 1));
 	next = begin < feed->changes->len ? pos_at(feed, begin) : feed->to;
-	/* What a copy of the store lacks all stands at one place. */
+	/* Changes for records that a restored copy lacks share one position. */
 	return store_position_cmp(next, after) < 0 ? next : after;
 }
 
 /*
- * gossip_write_feed() writes one datagram with the changes from `begin` on
- * and returns the index of the first that did not fit. Only the last one says
- * how old the list is, as only with it the list is complete.
+ * Writes one datagram with the changes starting at `begin` and returns the
+ * index of the first that did not fit. Only the last datagram states the age of
+ * the list, since the list is complete only with it.
  */
 guint gossip_write_feed(struct buf *out, const struct peer_info *self,
 			const struct backend_feed *feed, guint begin)
@@ -183,8 +192,8 @@
 }
 
 /*
- * gossip_write_load() writes what an instance has out. It goes to all some
- * twenty times a second from each, so all that a heartbeat says is left out.
+ * Writes this instance's requests in flight. Sent to all peers about twenty
+ * times a second, so the sender is an id only.
  */
 void gossip_write_load(struct buf *out, const struct peer_load *load)
 {
@@ -201,7 +210,7 @@
 	}
 }
 
-/* Ids that are ready, or those that aren't. */
+/* Packs the ids of the entries that are ready, or of those that are not. */
 static void pack_roll_ids(msgpack_packer *pk, const struct roster *r,
 			  bool ready)
 {
@@ -221,8 +230,8 @@
 }
 
 /*
- * gossip_write_roster() writes the entries of a roster from `begin` on that fit a
- * datagram, 5 bytes each, and returns the index of the next one.
+ * Writes as many roster entries as fit into a datagram, starting at `begin`.
+ * Returns the index of the next one.
  */
 guint gossip_write_roster(struct buf *out, const struct peer_info *self,
 			  const struct roster *roster, guint begin)
@@ -244,7 +253,7 @@
 	return end;
 }
 
-/* gossip_write_info_request() asks for one that a roster names and nobody else did. */
+/* Asks for the peer_info of an instance that only a roster has named so far. */
 void gossip_write_info_request(struct buf *out, const struct peer_info *self,
 			       uint32_t id)
 {
@@ -255,7 +264,7 @@
 	msgpack_pack_uint32(&pk, id);
 }
 
-/* gossip_write_roster_digest() says that the roster is as it was. */
+/* Announces that the roster still has this digest. */
 void gossip_write_roster_digest(struct buf *out, const struct peer_info *self,
 				uint32_t digest)
 {
@@ -266,7 +275,7 @@
 	msgpack_pack_uint32(&pk, digest);
 }
 
-/* gossip_write_roster_request() asks for the whole roster. */
+/* Asks for the full roster. */
 void gossip_write_roster_request(struct buf *out, const struct peer_info *self)
 {
 	msgpack_packer pk;
@@ -275,7 +284,7 @@
 	pack_sender(&pk, GOSSIP_ROSTER_REQUEST, self);
 }
 
-/* gossip_write_info() passes on what another instance said of itself. */
+/* Forwards the peer_info of another instance. */
 void gossip_write_info(struct buf *out, const struct peer_info *self,
 		       const struct peer_info *person)
 {
@@ -287,7 +296,7 @@
 	pack_info(&pk, person);
 }
 
-/* gossip_write_crashes() writes at most CRASH_NOTICES_MAX news. */
+/* Writes `n` notices, at most CRASH_NOTICES_MAX. */
 void gossip_write_crashes(struct buf *out, const struct peer_info *self,
 			  const struct crash_notice *news, unsigned n)
 {
@@ -304,8 +313,8 @@
 }
 
 /*
- * gossip_write_limits() writes what servers say of their limits. Its sender is
- * an id only, as it goes to all while servers are in need.
+ * Writes the limits that backend servers have set. Sent to all peers for as
+ * long as servers are limited, so the sender is an id only.
  */
 void gossip_write_limits(struct buf *out, const struct limit_news *news)
 {
@@ -327,7 +336,7 @@
 	}
 }
 
-/* gossip_write_drain() writes which servers have said that they leave. */
+/* Writes which backend servers have announced that they drain. */
 void gossip_write_drain(struct buf *out, const struct drain_news *news)
 {
 	msgpack_packer pk;
@@ -343,7 +352,7 @@
 	}
 }
 
-/* gossip_write_grant() writes a question for a send, or a grant. */
+/* Writes a request for a send, or the grant of one. */
 void gossip_write_grant(struct buf *out, const struct limit_call *call)
 {
 	msgpack_packer pk;
--- a/member/gossip.h
+++ b/member/gossip.h
@@ -1,8 +1,9 @@
 /*
- * Datagrams between entry instances: heartbeats, and the changes of the list
- * of backend servers that one instance read for all. msgpack over UDP: a
- * datagram that is lost is made good by the next one or by a read of the
- * store, and there is no connection that could fall silent.
+ * Datagrams between entry instances: heartbeats, membership, and news about
+ * backend servers, among them the changes of the backend list that one instance
+ * reads on behalf of all. Encoded as msgpack over UDP. A lost datagram is made
+ * up for by the next one or by a read of the store, and there is no connection
+ * that could hang.
  */
 #ifndef MP_MEMBER_GOSSIP_H
 #define MP_MEMBER_GOSSIP_H
@@ -21,66 +22,72 @@
 enum gossip_kind {
 	GOSSIP_HEARTBEAT = 1,
 	GOSSIP_FEED = 2,
-	GOSSIP_LOAD = 11,	   /* requests out; its sender is an id only */
-	GOSSIP_ROSTER = 4,	   /* who lives, as a hub hears it */
-	GOSSIP_INFO_REQUEST = 5,   /* asks who an id of a roster is */
-	GOSSIP_ROSTER_DIGEST = 8,  /* the roster hasn't changed: its digest */
-	GOSSIP_ROSTER_REQUEST = 9, /* asks for the whole roster */
-	GOSSIP_INFO = 6,	   /* what another instance said of itself */
-	GOSSIP_CRASHES = 10,	   /* requests under which servers ended */
-	GOSSIP_GRANT_REQUEST = 13, /* asks for a send that another may make */
-	GOSSIP_GRANT = 14,    /* gives one up; their senders are ids only */
-	GOSSIP_DRAINING = 15, /* servers that leave; its sender is an id only */
-	GOSSIP_LIMITS = 12,   /* limits of servers; its sender is an id only */
+	GOSSIP_LOAD = 11,	  /* requests in flight; sender is an id only */
+	GOSSIP_ROSTER = 4,	  /* live instances, as known to a hub */
+	GOSSIP_INFO_REQUEST = 5,  /* asks for the instance behind an id */
+	GOSSIP_ROSTER_DIGEST = 8, /* the roster is unchanged */
+	GOSSIP_ROSTER_REQUEST = 9, /* asks for the full roster */
+	GOSSIP_INFO = 6,	   /* another instance's peer_info */
+	GOSSIP_CRASHES = 10,	   /* requests that crashed backends */
+	GOSSIP_GRANT_REQUEST = 13, /* asks a peer to give up a send */
+	GOSSIP_GRANT = 14,	   /* gives up a send; both: sender is an id */
+	GOSSIP_DRAINING = 15,	   /* draining backends; sender is an id only */
+	GOSSIP_LIMITS = 12,	   /* backends' limits; sender is an id only */
 };
 
-/* Kinds of changes on the wire. */
+/* Values of a change's kind field on the wire. */
 enum { CHANGE_PLAIN, CHANGE_MISSING, CHANGE_UNCONFIRMED };
 
-/* One record of the list of backend servers. */
+/* One change of the list of backend servers. */
 struct backend_change {
 	struct store_position pos;
-	bool removed; /* only entry.id is meant */
+	bool removed; /* only entry.id is set */
 	/*
-	 * Only entry.id is meant: the store has come back from a copy that
-	 * lacks it, so it is gone unless it is written again in time.
+	 * The store was restored from a copy that lacks this record: the server
+	 * is removed unless it is written again in time. Only entry.id is set.
 	 */
 	bool missing;
 	/*
-	 * The copy has it though it had left: it is back unless it is removed
-	 * again in time.
+	 * The restored copy has this record although it had been removed
+	 * before: the server is back unless it is removed again in time.
 	 */
 	bool unconfirmed;
 	struct backend_entry entry;
 };
 
-/* What instances tell each other of a request under which servers ended. */
+/*
+ * What instances report to each other about a request that may crash servers.
+ */
 enum crash_notice_kind {
-	CRASH_NOTICE_CRASHED = 1,    /* a server ended under it */
+	CRASH_NOTICE_CRASHED = 1,    /* a server ended while running it */
 	CRASH_NOTICE_ANSWERED = 2,   /* a server has answered it */
-	CRASH_NOTICE_QUARANTINE = 3, /* it is refused */
+	CRASH_NOTICE_QUARANTINE = 3, /* it is quarantined */
 };
 
 struct crash_notice {
 	enum crash_notice_kind kind;
 	uint64_t digest; /* of the request */
-	uint32_t detail; /* backend_start_hash(), or terms of quarantine */
+	uint32_t detail; /* backend_start_hash() or quarantine terms */
 };
 
-/* News that fit one datagram, 16 bytes each. */
+/* Notices that fit into one datagram, at 16 bytes each. */
 enum { CRASH_NOTICES_MAX = 64 };
 
-/* The list's changes between two places. */
+/* The changes of the backend list between two positions of the store. */
 struct backend_feed {
 	/*
-	 * Covers records from <= pos < to. Where `to` is of a later era, those
-	 * of `from` to it as a whole, and those of its own from `listed` on.
+	 * Covers the records with from <= pos < to. If `to` is of a later era
+	 * than `from`, everything before the era of `to` is covered, and that
+	 * era starting at listed_from.
 	 */
 	struct store_position from, listed_from, to;
-	uint32_t
-		age_ms; /* since the store was asked; AGE_UNKNOWN in parts but the last */
-	uint32_t removal_delay_ms; /* removals are held back this much longer */
-	GArray *changes;	   /* struct backend_change, by pos */
+	/*
+	 * Time since the store was queried. AGE_UNKNOWN in all parts but the
+	 * last.
+	 */
+	uint32_t age_ms;
+	uint32_t removal_delay_ms; /* added delay of removals */
+	GArray *changes;	   /* struct backend_change, ordered by pos */
 };
 
 struct gossip_message {
@@ -89,21 +96,21 @@
 	struct backend_feed feed; /* of GOSSIP_FEED */
 	struct peer_load load;	  /* of GOSSIP_LOAD */
 	struct roster roster;	  /* of GOSSIP_ROSTER */
-	uint32_t info_id;	  /* of GOSSIP_INFO_REQUEST: the id asked for */
-	uint32_t digest;	  /* of GOSSIP_ROSTER_DIGEST */
-	struct peer_info info;	  /* of GOSSIP_INFO */
+	uint32_t info_id;      /* of GOSSIP_INFO_REQUEST: the id in question */
+	uint32_t digest;       /* of GOSSIP_ROSTER_DIGEST */
+	struct peer_info info; /* of GOSSIP_INFO */
 	struct limit_news limits; /* of GOSSIP_LIMITS */
 	struct drain_news drain;  /* of GOSSIP_DRAINING */
 	struct limit_call call;	  /* of GOSSIP_GRANT_REQUEST and GOSSIP_GRANT */
 	GArray *crashes;	  /* of GOSSIP_CRASHES: struct crash_notice */
 };
 
-/* Fits an Ethernet frame, so that no datagram comes in pieces. */
+/* Fits an Ethernet frame, so that datagrams are not fragmented. */
 enum { GOSSIP_MAX = 1400 };
 
 void gossip_write_heartbeat(struct buf *out, const struct peer_info *self);
 guint gossip_feed_first(const struct backend_feed *feed,
-			struct store_position told, guint changes_max);
+			struct store_position sent_to, guint changes_max);
 guint gossip_write_feed(struct buf *out, const struct peer_info *self,
 			const struct backend_feed *feed, guint begin);
 void gossip_write_load(struct buf *out, const struct peer_load *load);
--- a/member/gossip_read.c
+++ b/member/gossip_read.c
@@ -6,12 +6,16 @@
 
 #include "member/gossip.h"
 
-/* A reader of array elements that remembers whether one was unfit. */
+/*
+ * Iterates over the elements of an array. `bad` is set once one is missing or
+ * has the wrong type, and stays set.
+ */
 struct cursor {
 	const msgpack_object *at, *end;
 	bool bad;
 };
 
+/* Starts at the first element; anything but an array gives a bad cursor. */
 static struct cursor cursor_of(const msgpack_object *o)
 {
 	if (o->type != MSGPACK_OBJECT_ARRAY)
@@ -20,6 +24,7 @@
 			       o->via.array.ptr + o->via.array.size, false};
 }
 
+/* Returns the next element, or nil if there is none. */
 static const msgpack_object *next(struct cursor *c)
 {
 	static const msgpack_object nil = {.type = MSGPACK_OBJECT_NIL};
@@ -42,7 +47,7 @@
 	return o->via.u64;
 }
 
-/* A number of zero or more; whole ones may be written as such. */
+/* Reads a finite number >= 0; integers may be encoded as such. */
 static double next_number(struct cursor *c)
 {
 	const msgpack_object *o = next(c);
@@ -57,7 +62,7 @@
 	return 0;
 }
 
-static void next_text(struct cursor *c, char *dst, size_t max)
+static void next_string(struct cursor *c, char *dst, size_t max)
 {
 	const msgpack_object *o = next(c);
 
@@ -84,7 +89,7 @@
 	return (struct store_position){era, next_uint(c)};
 }
 
-/* gossip_read_change() reads one; false when it is none. */
+/* Decodes one change. Returns false if it is invalid. */
 bool gossip_read_change(const msgpack_object *o, struct backend_change *out)
 {
 	struct cursor c = cursor_of(o);
@@ -93,15 +98,15 @@
 
 	memset(out, 0, sizeof(*out));
 	out->pos = next_position(&c);
-	next_text(&c, e->id, sizeof(e->id));
+	next_string(&c, e->id, sizeof(e->id));
 	kind = next_uint(&c);
 	out->missing = kind == CHANGE_MISSING;
 	out->unconfirmed = kind == CHANGE_UNCONFIRMED;
 	out->removed = !out->missing && c.at == c.end;
 	if (c.at == c.end)
 		return !c.bad;
-	next_text(&c, e->service, sizeof(e->service));
-	next_text(&c, e->dc, sizeof(e->dc));
+	next_string(&c, e->service, sizeof(e->service));
+	next_string(&c, e->dc, sizeof(e->dc));
 	next_addr(&c, &e->addr);
 	e->slots = (unsigned)next_uint(&c);
 	e->draining = next_uint(&c) != 0;
@@ -147,10 +152,10 @@
 
 static void read_info(struct cursor *c, struct peer_info *p)
 {
-	next_text(c, p->name, sizeof(p->name));
-	next_text(c, p->dc, sizeof(p->dc));
-	next_text(c, p->caller_addr, sizeof(p->caller_addr));
-	next_text(c, p->own_addr, sizeof(p->own_addr));
+	next_string(c, p->name, sizeof(p->name));
+	next_string(c, p->dc, sizeof(p->dc));
+	next_string(c, p->caller_addr, sizeof(p->caller_addr));
+	next_string(c, p->own_addr, sizeof(p->own_addr));
 	next_addr(c, &p->addr);
 	p->boot_id = next_uint(c);
 	p->leaving = next_uint(c) != 0;
@@ -236,7 +241,7 @@
 	while (!c.bad && c.at < c.end && news->n < DRAIN_NEWS_MAX) {
 		struct drain_item *it = &news->items[news->n++];
 
-		next_text(&c, it->id, sizeof(it->id));
+		next_string(&c, it->id, sizeof(it->id));
 		it->born_ms = next_uint(&c);
 	}
 	return !c.bad;
@@ -251,7 +256,10 @@
 	return !c->bad;
 }
 
-/* gossip_has_sender_info() tells whether a message says who sent it in full. */
+/*
+ * Returns whether a message carries the peer_info of its sender, and not only
+ * an id.
+ */
 bool gossip_has_sender_info(const struct gossip_message *m)
 {
 	switch (m->kind) {
@@ -266,8 +274,8 @@
 	}
 }
 
-/* Reads what stands after the sender. */
-static bool read_backoff(struct cursor *c, struct gossip_message *m)
+/* Reads what follows the sender. */
+static bool read_body(struct cursor *c, struct gossip_message *m)
 {
 	switch (m->kind) {
 	case GOSSIP_HEARTBEAT:
@@ -306,8 +314,8 @@
 }
 
 /*
- * gossip_read() decodes a datagram. Returns 0, or -EPROTO when it is none of
- * ours; m is to be cleared in both cases.
+ * Decodes a datagram. Returns 0, or -EPROTO if it is invalid; m must be cleared
+ * in both cases.
  */
 int gossip_read(struct lstr bytes, struct gossip_message *m)
 {
@@ -324,14 +332,14 @@
 		m->kind = (enum gossip_kind)next_uint(&c);
 		if (gossip_has_sender_info(m))
 			read_info(&c, &m->sender);
-		if (!c.bad && read_backoff(&c, m))
+		if (!c.bad && read_body(&c, m))
 			rc = 0;
 	}
 	msgpack_unpacked_destroy(&u);
 	return rc;
 }
 
-/* gossip_message_clear() frees what gossip_read() made. */
+/* Frees what gossip_read() allocated. */
 void gossip_message_clear(struct gossip_message *m)
 {
 	if (m->feed.changes)
--- a/member/hubs.c
+++ b/member/hubs.c
@@ -3,25 +3,27 @@
 #include "member/hubs.h"
 
 enum {
-	BEAT_MS = 500,
-	LOST_HEARTBEAT_INTERVAL_MS =
-		5 * 1000, /* to those that are taken as gone */
+	HEARTBEAT_INTERVAL_MS = 500,
+	LOST_HEARTBEAT_INTERVAL_MS = 5 * 1000, /* to peers presumed gone */
 	/*
-	 * Up to here all tell all; beyond, the square of their number costs
-	 * more than hubs do.
+	 * With fewer peers than this all send to all. With more, traffic that
+	 * grows with the square of their number costs more than hubs do.
 	 */
 	MESH_MAX = 20,
 	ROSTER_INTERVAL_MS = 450,
-	/* Two rolls were lost or the hub is: tell all. */
+	/*
+	 * Two rosters in a row are missing, or the hub is down: send heartbeats
+	 * to all.
+	 */
 	ROSTER_TIMEOUT_MS = 1200,
 	/*
-	 * A peer that said that it leaves, and is called ready this much
-	 * later, has started anew.
+	 * If a roster lists a peer as alive this long after the peer announced
+	 * that it leaves, it has restarted.
 	 */
 	LEAVING_EXPIRY_MS = 1000,
 };
 
-/* roster_init() makes an empty one that covers all ids. */
+/* Initializes an empty roster that covers all ids. */
 void roster_init(struct roster *r)
 {
 	r->lo = 0;
@@ -29,7 +31,7 @@
 	r->entries = g_array_new(FALSE, FALSE, sizeof(struct roster_entry));
 }
 
-/* roster_clear() frees what it holds. */
+/* Frees the entries. */
 void roster_clear(struct roster *r)
 {
 	if (r->entries)
@@ -43,14 +45,15 @@
 }
 
 /*
- * roster_part() copies at most `most` entries from `begin` on into an empty
- * roster, which covers the ids up to the next part's. Returns where that begins.
+ * Copies at most `max` entries, starting at `begin`, into the empty roster
+ * `part`, which then covers the ids up to the first one of the next part.
+ * Returns the index at which that begins.
  */
-guint roster_part(const struct roster *r, guint begin, guint most,
+guint roster_part(const struct roster *r, guint begin, guint max,
 		  struct roster *part)
 {
 	guint left = r->entries->len - begin;
-	guint n = left < most ? left : most;
+	guint n = left < max ? left : max;
 
 	part->lo = begin ? entry_at(r, begin)->id : r->lo;
 	part->hi = n < left ? entry_at(r, begin + n)->id - 1 : r->hi;
@@ -59,13 +62,13 @@
 	return begin + n;
 }
 
-/* hubs_enabled() tells whether the system is so large that it has hubs. */
+/* Returns whether the deployment is large enough to use hubs. */
 bool hubs_enabled(const struct peer_table *t)
 {
 	return t->peers->len >= MESH_MAX;
 }
 
-/* hubs_assign() finds the hubs: the first live ones by name. */
+/* Marks the peers that are hubs: the first live instances by name. */
 void hubs_assign(struct peer_table *t, int64_t now_ms)
 {
 	bool self_counted = t->self.leaving;
@@ -84,7 +87,7 @@
 	}
 }
 
-/* hubs_roster_due() tells whether this instance is to send the roster now. */
+/* Returns whether this instance must send the roster now. */
 bool hubs_roster_due(const struct peer_table *t, int64_t sent_ms,
 		     int64_t now_ms)
 {
@@ -93,7 +96,7 @@
 	       peers_rank(t, now_ms) == 0;
 }
 
-/* Mixes one entry's bits, so that sums of entries differ. */
+/* Hashes an entry, so that the sums of different sets of entries differ. */
 static uint32_t entry_hash(struct roster_entry e)
 {
 	uint64_t x = ((uint64_t)e.id << 1 | e.ready) * 0x9e3779b97f4a7c15;
@@ -101,7 +104,7 @@
 	return e.id ? (uint32_t)(x >> 32) : 0;
 }
 
-/* roster_digest() is the same for the same entries, in whatever order. */
+/* Returns a digest that does not depend on the order of the entries. */
 uint32_t roster_digest(const struct roster *r)
 {
 	uint32_t sum = 0;
@@ -118,7 +121,7 @@
 	return x->id < y->id ? -1 : x->id > y->id;
 }
 
-/* hubs_build_roster() lists those that live and stay, this instance too. */
+/* Lists the live instances that are not leaving, this one included. */
 void hubs_build_roster(const struct peer_table *t, struct roster *r,
 		       int64_t now_ms)
 {
@@ -136,7 +139,7 @@
 	g_array_sort(r->entries, compare_ids);
 }
 
-/* hubs_find_peer() finds a peer by its id, or NULL. */
+/* Returns the peer with this id, or NULL. */
 struct peer *hubs_find_peer(const struct peer_table *t, uint32_t id)
 {
 	for (guint i = 0; i < t->peers->len; i++) {
@@ -148,8 +151,9 @@
 	return NULL;
 }
 
-static void take_entry(struct peer *p, const struct roster_entry *e,
-		       int64_t now_ms)
+/* Applies a roster entry to the peer that it names. */
+static void apply_entry(struct peer *p, const struct roster_entry *e,
+			int64_t now_ms)
 {
 	p->in_roster = true;
 	p->roster_ms = now_ms;
@@ -161,8 +165,9 @@
 }
 
 /*
- * hubs_apply_digest() takes in that the roster has not changed. Returns false
- * when what is known here isn't that roster; then it is to be asked for.
+ * Handles a digest, which says that the roster has not changed. Returns false
+ * if it differs from the roster known here; the caller must then request the
+ * full one.
  */
 bool hubs_apply_digest(struct peer_table *t, uint32_t digest, int64_t now_ms)
 {
@@ -188,8 +193,8 @@
 }
 
 /*
- * hubs_apply_roster() takes in a part of a roster; the ids of those that aren't
- * known here are appended to `unknown`.
+ * Applies a part of a roster. The ids of instances that are unknown here are
+ * appended to `unknown`.
  */
 void hubs_apply_roster(struct peer_table *t, const struct roster *r,
 		       GArray *unknown, int64_t now_ms)
@@ -210,7 +215,7 @@
 		struct peer *p = hubs_find_peer(t, e->id);
 
 		if (p)
-			take_entry(p, e, now_ms);
+			apply_entry(p, e, now_ms);
 		else if (e->id == self)
 			t->self_in_roster = *e;
 		else
@@ -219,18 +224,20 @@
 }
 
 /*
- * hubs_heartbeat_due() tells whether a heartbeat to p is due. Everyone is told
- * once that this instance is there, whoever else tells of it.
+ * Returns whether a heartbeat to p is due. Every peer gets one after this
+ * instance has started, even if the roster names it too.
  */
 bool hubs_heartbeat_due(const struct peer_table *t, const struct peer *p,
 			int64_t now_ms)
 {
-	bool rolled = t->roster_received_ms &&
-		      now_ms - t->roster_received_ms < ROSTER_TIMEOUT_MS;
-	bool lost = now_ms - peer_last_seen_ms(p) > PEER_LOST_MS;
+	bool roster_is_current =
+		t->roster_received_ms &&
+		now_ms - t->roster_received_ms < ROSTER_TIMEOUT_MS;
+	bool presumed_gone = now_ms - peer_last_seen_ms(p) > PEER_LOST_MS;
 
-	if (p->sent_ms && rolled && hubs_enabled(t) && !p->hub)
+	if (p->sent_ms && roster_is_current && hubs_enabled(t) && !p->hub)
 		return false;
-	return now_ms - p->sent_ms >=
-	       (lost ? LOST_HEARTBEAT_INTERVAL_MS : BEAT_MS);
+	return now_ms - p->sent_ms >= (presumed_gone
+					       ? LOST_HEARTBEAT_INTERVAL_MS
+					       : HEARTBEAT_INTERVAL_MS);
 }
--- a/member/hubs.h
+++ b/member/hubs.h
@@ -1,22 +1,26 @@
 /*
- * Who tells whom that it lives. A few instances all tell each other. Many tell
- * only the first ones by name, the hubs; the first of these sends all of them
- * the roster: the ids of those it hears, or, while that stays the same, its
- * digest only. So n instances send some 4n datagrams a heartbeat and not n^2.
- * Without a roster each tells every other, until one comes again. Decisions
- * on values only.
+ * Distribution of liveness among entry instances. Few instances send heartbeats
+ * to each other directly. In a large deployment they send them only to the
+ * hubs, which are the first live instances by name; the first hub sends
+ * everyone the roster: the ids of the instances that it hears or, while that
+ * does not change, only its digest. So n instances send about 4n datagrams per
+ * heartbeat interval instead of n^2. While no roster arrives, every instance
+ * falls back to sending to every other. No I/O; times are passed in.
  */
 #ifndef MP_MEMBER_HUBS_H
 #define MP_MEMBER_HUBS_H
 
 #include "member/peers.h"
 
-/* The first serves, the next two know all and can take over at once. */
+/*
+ * The first hub sends the roster. The other two know all instances as well, so
+ * they can take over at once.
+ */
 enum { HUB_COUNT = 3 };
 
 /*
- * Who lives and stays, as a hub hears it, or a part of it: of the instances
- * with ids from `lo` to `hi` these and no others.
+ * The instances that are alive and not leaving, as known to a hub, or a part of
+ * them: of the ids from `lo` to `hi` exactly those listed are alive.
  */
 struct roster {
 	uint32_t lo, hi;
@@ -25,7 +29,7 @@
 
 void roster_init(struct roster *r);
 void roster_clear(struct roster *r);
-guint roster_part(const struct roster *r, guint begin, guint most,
+guint roster_part(const struct roster *r, guint begin, guint max,
 		  struct roster *part);
 bool hubs_enabled(const struct peer_table *t);
 void hubs_assign(struct peer_table *t, int64_t now_ms);
--- a/member/peers.c
+++ b/member/peers.c
@@ -5,29 +5,31 @@
 
 enum {
 	/*
-	 * Three heartbeats, which go out twice a second, and the way: an
-	 * instance that is gone leaves the callers' answers within two
-	 * seconds.
+	 * Three heartbeats, sent twice a second, plus transit: a dead instance
+	 * disappears from the responses to callers within two seconds.
 	 */
 	ALIVE_TIMEOUT_MS = 1700,
-	/* A peer that lives has answered the first heartbeat by then. */
-	ANSWER_MS = 1000,
+	/* A live peer has replied to the first heartbeat by then. */
+	FIRST_REPLY_MS = 1000,
 	/*
-	 * One that fell silent may be cut off and serve on: regions are for an
-	 * hour now and then.
+	 * A silent instance may be cut off and still be serving: now and then a
+	 * region is partitioned for an hour.
 	 */
 	PARTITION_MAX_MS = 2 * 3600 * 1000,
-	/* After its grace time a stopping instance has ended. */
+	/*
+	 * Added to the grace period, after which a stopping instance has
+	 * exited.
+	 */
 	STOP_MARGIN_MS = 1000,
 };
 
-/* peer_id() shortens a name for the roster. */
+/* Returns the short id of an instance, for the roster. */
 uint32_t peer_id(const char *name)
 {
 	return g_str_hash(name);
 }
 
-/* peers_init() makes a table that knows only this instance. */
+/* Initializes a table that contains only this instance. */
 void peers_init(struct peer_table *t, const struct peer_info *self)
 {
 	t->self = *self;
@@ -35,8 +37,7 @@
 }
 
 /*
- * peers_add() finds a peer by name or takes it in. Returns NULL for this
- * instance's own name.
+ * Finds a peer by name, or adds it. Returns NULL for this instance's own name.
  */
 struct peer *peers_add(struct peer_table *t, const struct peer_info *info,
 		       int64_t now_ms)
@@ -63,7 +64,7 @@
 	return p;
 }
 
-/* peers_find() finds a peer by name, or NULL. */
+/* Returns the peer with this name, or NULL. */
 struct peer *peers_find(const struct peer_table *t, const char *name)
 {
 	for (guint i = 0; i < t->peers->len; i++) {
@@ -76,9 +77,9 @@
 }
 
 /*
- * peers_note_heartbeat() takes in a heartbeat. Returns whether the peer is new, has
- * started anew or was thought lost: it is then answered at once, so that it
- * need not wait for the next heartbeat to know this instance.
+ * Handles a heartbeat. Returns whether the peer is new, has restarted or was
+ * presumed lost; it must then be sent a heartbeat at once, so that it need not
+ * wait for the next one to learn of this instance.
  */
 bool peers_note_heartbeat(struct peer_table *t, const struct peer_info *info,
 			  int64_t now_ms)
@@ -87,17 +88,18 @@
 
 	if (!p)
 		return false;
-	bool fresh = !peer_alive(p, now_ms) || p->info.boot_id != info->boot_id;
+	bool needs_reply =
+		!peer_alive(p, now_ms) || p->info.boot_id != info->boot_id;
 
 	p->info = *info;
 	p->heartbeat_ms = now_ms;
 	p->logged_alive = true;
-	return fresh;
+	return needs_reply;
 }
 
 /*
- * peer_alive() tells whether a peer's heartbeats come, here or at the hub
- * whose roster came last.
+ * Returns whether heartbeats of a peer arrive, here or at the hub that sent the
+ * last roster.
  */
 bool peer_alive(const struct peer *p, int64_t now_ms)
 {
@@ -106,7 +108,7 @@
 	return p->in_roster && now_ms - p->roster_ms < ALIVE_TIMEOUT_MS;
 }
 
-/* peer_last_seen_ms() tells when somebody last heard of a peer. */
+/* Returns when a peer last gave a sign of life, here or to a hub. */
 int64_t peer_last_seen_ms(const struct peer *p)
 {
 	int64_t seen =
@@ -116,8 +118,8 @@
 }
 
 /*
- * peers_next_lost() finds a peer whose heartbeats have stopped since it was
- * last heard, each once; NULL when there is none.
+ * Returns a peer whose heartbeats have stopped, each one once until it is heard
+ * again; NULL if there is none.
  */
 const struct peer *peers_next_lost(struct peer_table *t, int64_t now_ms)
 {
@@ -132,16 +134,20 @@
 	return NULL;
 }
 
-/* Counts the peers that stand before this instance and may serve. */
-static unsigned count_before(const struct peer_table *t, int64_t now_ms,
-			     bool expected_too)
+/*
+ * Counts the peers that precede this instance by name and are alive and not
+ * leaving. With expected_too, those count as well that may still reply for the
+ * first time.
+ */
+static unsigned count_preceding(const struct peer_table *t, int64_t now_ms,
+				bool expected_too)
 {
 	unsigned rank = 0;
 
 	for (guint i = 0; i < t->peers->len; i++) {
 		const struct peer *p = g_ptr_array_index(t->peers, i);
 		bool expected = expected_too && !p->heartbeat_ms &&
-				now_ms - p->added_ms < ANSWER_MS;
+				now_ms - p->added_ms < FIRST_REPLY_MS;
 		bool alive = peer_alive(p, now_ms) && !p->info.leaving;
 
 		if ((alive || expected) &&
@@ -152,25 +158,28 @@
 }
 
 /*
- * peers_rank() counts the live instances that stand before this one. The
- * first reads the list of backend servers for all; the next take over in
- * turn when it falls silent.
+ * Returns how many live instances precede this one by name. The first one reads
+ * the list of backend servers for all; if it falls silent, the next ones take
+ * over in turn.
  */
 unsigned peers_rank(const struct peer_table *t, int64_t now_ms)
 {
-	return count_before(t, now_ms, false);
+	return count_preceding(t, now_ms, false);
 }
 
 /*
- * peers_startup_rank() is peers_rank() for an instance that has just started:
- * peers that were not heard yet count while they may still answer.
+ * Like peers_rank(), for an instance that has just started: peers not heard yet
+ * count for as long as they may still reply.
  */
 unsigned peers_startup_rank(const struct peer_table *t, int64_t now_ms)
 {
-	return count_before(t, now_ms, true);
+	return count_preceding(t, now_ms, true);
 }
 
-/* peers_records_era() tells as of which era somebody found the system's records whole. */
+/*
+ * Returns the latest era in which any peer found the deployment's records
+ * complete.
+ */
 uint64_t peers_records_era(const struct peer_table *t)
 {
 	uint64_t era = 0;
@@ -183,7 +192,7 @@
 	return era;
 }
 
-/* peers_count() counts the instances that may be serving, this one too. */
+/* Counts the instances that may be serving, this one included. */
 unsigned peers_count(const struct peer_table *t, int64_t now_ms)
 {
 	unsigned n = 1;
@@ -196,7 +205,7 @@
 	return n;
 }
 
-/* Whether a peer may still send to servers, as far as is known here. */
+/* Whether a peer may still be sending to servers, as far as is known here. */
 static bool may_send(const struct peer *p, uint32_t stop_ms, int64_t now_ms)
 {
 	int64_t silent = now_ms - peer_last_seen_ms(p);
@@ -207,11 +216,11 @@
 }
 
 /*
- * peers_sharers() lists all instances that may be sending to servers, this one
- * first. One that merely fell silent counts on, unlike in peers_count(): what it
- * holds must not be given to another while it may be using it. `stop_ms`: so long
- * after it said that it leaves one has surely ended. Unref the array of struct
- * limit_sharer after use.
+ * Lists all instances that may be sending to servers, this one first. Unlike in
+ * peers_count(), silent instances still count: the share of a limit that one
+ * holds must not be given to another while it may be in use. An instance that
+ * announced that it leaves has exited at the latest `stop_ms` later. Returns an
+ * array of struct limit_sharer; unref it after use.
  */
 GArray *peers_sharers(const struct peer_table *t, uint32_t stop_ms,
 		      int64_t now_ms)
@@ -231,27 +240,31 @@
 	return out;
 }
 
-/* Whom to name: those that can serve, all that live, or all known. */
-enum choice { CHOOSE_READY, CHOOSE_ALIVE, CHOOSE_KNOWN };
+/*
+ * Instances that qualify: those that can serve, all live ones, or all known
+ * ones.
+ */
+enum eligibility { ELIGIBLE_READY, ELIGIBLE_ALIVE, ELIGIBLE_KNOWN };
 
-static bool suits(const struct peer *p, enum choice choice, int64_t now_ms)
+static bool is_eligible(const struct peer *p, enum eligibility eligibility,
+			int64_t now_ms)
 {
 	bool alive = peer_alive(p, now_ms);
 
 	if (p->info.leaving && alive)
 		return false;
-	switch (choice) {
-	case CHOOSE_READY:
+	switch (eligibility) {
+	case ELIGIBLE_READY:
 		return alive && p->info.ready;
-	case CHOOSE_ALIVE:
+	case ELIGIBLE_ALIVE:
 		return alive;
-	case CHOOSE_KNOWN:
+	case ELIGIBLE_KNOWN:
 		break;
 	}
 	return true;
 }
 
-static void add_brief(GArray *out, const struct peer_info *p)
+static void add_endpoint(GArray *out, const struct peer_info *p)
 {
 	struct peer_endpoint b;
 
@@ -262,56 +275,57 @@
 	g_array_append_val(out, b);
 }
 
-/* Lists those that suit; returns how many they are. */
+/* Lists the eligible instances and returns their number. */
 static guint list_peers(const struct peer_table *t, int64_t now_ms,
-			enum choice choice, GArray *out)
+			enum eligibility eligibility, GArray *out)
 {
 	g_array_set_size(out, 0);
-	if (!t->self.leaving && (t->self.ready || choice != CHOOSE_READY))
-		add_brief(out, &t->self);
+	if (!t->self.leaving &&
+	    (t->self.ready || eligibility != ELIGIBLE_READY))
+		add_endpoint(out, &t->self);
 	for (guint i = 0; i < t->peers->len; i++) {
 		const struct peer *p = g_ptr_array_index(t->peers, i);
 
-		if (suits(p, choice, now_ms))
-			add_brief(out, &p->info);
+		if (is_eligible(p, eligibility, now_ms))
+			add_endpoint(out, &p->info);
 	}
 	return out->len;
 }
 
 /*
- * peers_for_callers() lists where callers may connect: the live instances
- * that can serve, or those that live when none can (they say when to come
- * back). An instance that hears none of the others it knows is more likely
- * cut off than the last one left, so it names them all. The result is an array
- * of struct peer_endpoint; unref it after use.
+ * Lists the instances that callers may connect to: the live ones that can serve
+ * or, if none can, all live ones, which reply with a time to retry. An instance
+ * that hears none of the others is more likely cut off than the last survivor,
+ * so it lists all known ones. Returns an array of struct peer_endpoint; unref
+ * it after use.
  */
 GArray *peers_for_callers(const struct peer_table *t, int64_t now_ms)
 {
 	GArray *out = g_array_new(FALSE, TRUE, sizeof(struct peer_endpoint));
-	guint alive = list_peers(t, now_ms, CHOOSE_ALIVE, out);
+	guint alive = list_peers(t, now_ms, ELIGIBLE_ALIVE, out);
 
 	if (alive <= 1 && t->peers->len)
-		list_peers(t, now_ms, CHOOSE_KNOWN, out);
-	else if (list_peers(t, now_ms, CHOOSE_READY, out) == 0)
-		list_peers(t, now_ms, CHOOSE_ALIVE, out);
+		list_peers(t, now_ms, ELIGIBLE_KNOWN, out);
+	else if (list_peers(t, now_ms, ELIGIBLE_READY, out) == 0)
+		list_peers(t, now_ms, ELIGIBLE_ALIVE, out);
 	return out;
 }
 
-/* peers_count_ready() counts the live peers that can serve. */
+/* Counts the live peers that can serve. */
 unsigned peers_count_ready(const struct peer_table *t, int64_t now_ms)
 {
 	unsigned n = 0;
 
 	for (guint i = 0; i < t->peers->len; i++)
-		n += suits(g_ptr_array_index(t->peers, i), CHOOSE_READY,
-			   now_ms);
+		n += is_eligible(g_ptr_array_index(t->peers, i), ELIGIBLE_READY,
+				 now_ms);
 	return n;
 }
 
 /*
- * peers_pick_source() finds a live peer that can serve, to ask it for what it
- * knows: of the own data centre if there is one, as what crosses data centres
- * is slower and dearer. `turn` chooses among several; NULL: there is none.
+ * Picks a live peer that can serve, to fetch its state from. Peers of the own
+ * data centre are preferred, since traffic between data centres is slower and
+ * costs more. `turn` rotates among several. Returns NULL if there is none.
  */
 const struct peer *peers_pick_source(const struct peer_table *t, unsigned turn,
 				     int64_t now_ms)
@@ -322,7 +336,7 @@
 	for (guint i = 0; i < t->peers->len; i++) {
 		struct peer *p = g_ptr_array_index(t->peers, i);
 
-		if (suits(p, CHOOSE_READY, now_ms))
+		if (is_eligible(p, ELIGIBLE_READY, now_ms))
 			g_ptr_array_add(
 				strcmp(p->info.dc, t->self.dc) ? far : near, p);
 	}
--- a/member/peers.h
+++ b/member/peers.h
@@ -1,7 +1,7 @@
 /*
- * The entry instances of the system as one of them knows them: from their
- * records in the platform's store and from their heartbeats. Decisions on
- * values only; the datagrams are in member/gossip.h.
+ * The entry instances of the deployment as known to one of them, from their
+ * records in the platform's store and from their heartbeats. No I/O;
+ * times are passed in, and datagrams are encoded in member/gossip.h.
  */
 #ifndef MP_MEMBER_PEERS_H
 #define MP_MEMBER_PEERS_H
@@ -17,66 +17,65 @@
 enum {
 	PEER_NAME_MAX = 64,
 	PEER_ADDR_MAX = 32,
-	PEER_LOST_MS = 10 * 1000, /* unheard of for so long: taken as gone */
+	PEER_LOST_MS = 10 * 1000, /* without a sign of life: presumed gone */
 };
 
-/* In the place of an age that nobody confirmed in the store's present era. */
+/* Age of data that has not been confirmed in the store's current era. */
 #define AGE_UNKNOWN UINT32_MAX
 
-/* How far an instance knows the configuration. */
+/* How far an instance has read the configuration. */
 struct config_progress {
-	struct store_position pos; /* records before it are taken in */
-	uint32_t age_ms;	   /* it knew then that these are all */
-	uint64_t version;	   /* the newest that it knows; 0: none */
+	struct store_position pos; /* all records before it have been read */
+	uint32_t age_ms;	   /* since these were known to be all */
+	uint64_t version;	   /* newest known one; 0: none */
 	uint32_t digest;	   /* of that version's record */
 };
 
-/* What an instance says of itself. */
+/* What an instance announces about itself. */
 struct peer_info {
 	char name[PEER_NAME_MAX];
 	char dc[PEER_NAME_MAX];
 	char caller_addr[PEER_ADDR_MAX]; /* where callers connect */
-	char own_addr[PEER_ADDR_MAX]; /* where those of the own interface do */
-	struct sockaddr_in addr;      /* where its peers reach it */
-	uint64_t boot_id;	      /* random, one for each start */
-	bool leaving;		      /* it is stopping as planned */
-	bool ready;		      /* it knows what it needs to serve */
-	uint64_t store_era;	      /* the highest that it has heard of */
-	uint64_t records_era;	      /* its own records stand there in it */
+	char own_addr[PEER_ADDR_MAX];	 /* listener of the own interface */
+	struct sockaddr_in addr;	 /* for datagrams of peers */
+	uint64_t boot_id;		 /* random, changes with each start */
+	bool leaving;			 /* planned shutdown in progress */
+	bool ready;			 /* has all it needs to serve */
+	uint64_t store_era;		 /* highest era known to it */
+	uint64_t records_era;		 /* era that has its own records */
 	struct config_progress config;
 };
 
 struct peer {
 	struct peer_info info;
-	int64_t added_ms;     /* since when */
-	int64_t heartbeat_ms; /* its last heartbeat; 0: never */
+	int64_t added_ms;     /* when it was added to the table */
+	int64_t heartbeat_ms; /* last heartbeat received; 0: never */
 	uint32_t id;	      /* peer_id() of its name */
 	bool roster_ready;    /* as the roster says */
-	bool in_roster;	      /* the last roster that covers it names it */
-	int64_t roster_ms;    /* when one last did; 0: never */
-	int64_t sent_ms;      /* our last datagram to it; 0: none yet */
-	bool hub;	      /* heartbeats go to it, see member/hubs.h */
-	bool logged_alive;    /* alive, as far as the log has told */
+	bool in_roster;	      /* the latest roster covering its id lists it */
+	int64_t roster_ms;    /* when one last listed it; 0: never */
+	int64_t sent_ms;      /* last datagram sent to it; 0: none yet */
+	bool hub;	      /* receives heartbeats, see member/hubs.h */
+	bool logged_alive;    /* alive according to the log */
 };
 
-/* What callers are told of an instance. */
+/* The addresses of an instance that callers are given. */
 struct peer_endpoint {
 	char name[PEER_NAME_MAX], dc[PEER_NAME_MAX];
 	char caller_addr[PEER_ADDR_MAX], own_addr[PEER_ADDR_MAX];
 };
 
-/* One that lives and stays, as a hub hears it. */
+/* An instance that is alive and not leaving, as known to a hub. */
 struct roster_entry {
-	uint32_t id; /* peer_id() of its name; 0: nobody */
-	bool ready;  /* it can serve */
+	uint32_t id; /* peer_id() of its name; 0: none */
+	bool ready;  /* can serve requests */
 };
 
 struct peer_table {
 	struct peer_info self;
-	GPtrArray *peers;	    /* struct peer *, ordered by name */
-	int64_t roster_received_ms; /* when a part of a roster last came; 0: never */
-	struct roster_entry
-		self_in_roster; /* how a roster named this instance */
+	GPtrArray *peers;		    /* struct peer *, ordered by name */
+	int64_t roster_received_ms;	    /* last one received; 0: none yet */
+	struct roster_entry self_in_roster; /* as in the last roster */
 };
 
 void peers_init(struct peer_table *t, const struct peer_info *self);
--- a/member/select_instances.c
+++ b/member/select_instances.c
@@ -4,16 +4,19 @@
 
 enum {
 	/*
-	 * Instances of a data centre from which on its callers need no
-	 * others: callers keep an answer for some seconds, and of eight one
-	 * survives a loss of 60% of all with 98%.
+	 * A data centre with this many instances needs no others listed for its
+	 * callers. Callers use a response for some seconds, and one of eight
+	 * instances survives the loss of 60% of all with a probability of 98%.
 	 */
 	ENOUGH_LOCAL_INSTANCES = 8,
 };
 
-/* Draws `max` of n at random to the front. */
-static void draw(const struct peer_endpoint **list, size_t n, size_t max,
-		 GRand *rand)
+/*
+ * Moves `max` randomly chosen ones of the n entries to the front (a partial
+ * Fisher-Yates shuffle).
+ */
+static void shuffle_front(const struct peer_endpoint **list, size_t n,
+			  size_t max, GRand *rand)
 {
 	for (size_t i = 0; i < max && i + 1 < n; i++) {
 		size_t k = (size_t)g_rand_int_range(rand, (gint32)i, (gint32)n);
@@ -25,9 +28,8 @@
 }
 
 /*
- * select_instances() chooses at most `max` of the n instances that can be named, for a
- * caller in data centre `dc` (empty: not known). Returns how many it wrote to
- * out.
+ * Selects at most `max` of the n instances in `all` for a caller in data centre
+ * `dc` (empty if unknown). Writes them to `out` and returns their number.
  */
 size_t select_instances(const struct peer_endpoint *all, size_t n,
 			const char *dc, GRand *rand,
@@ -47,7 +49,7 @@
 			list[count++] = &all[i];
 	}
 	if (count > max)
-		draw(list, count, max, rand);
+		shuffle_front(list, count, max, rand);
 	count = count < max ? count : max;
 	for (size_t i = 0; i < count; i++)
 		out[i] = list[i];
--- a/member/select_instances.h
+++ b/member/select_instances.h
@@ -1,8 +1,9 @@
 /*
- * Which entry instances a caller is told of: those of its own data centre
- * where there are enough, as what crosses data centres is slower and paid for;
- * and others each time when there are more than fit an answer, so that all
- * get callers. Decisions on values only.
+ * Selection of the entry instances that a caller is given. Instances of the
+ * caller's own data centre are preferred where there are enough of them, since
+ * traffic between data centres is slower and costs money. If more qualify than
+ * fit a response, each call draws others, so that callers spread over all
+ * instances. No I/O.
  */
 #ifndef MP_MEMBER_SELECT_INSTANCES_H
 #define MP_MEMBER_SELECT_INSTANCES_H
--- a/member/snapshot.c
+++ b/member/snapshot.c
@@ -18,14 +18,14 @@
 	FIELDS
 };
 
-/* snapshot_init() makes an empty one. */
+/* Initializes an empty snapshot. */
 void snapshot_init(struct snapshot *s)
 {
 	memset(s, 0, sizeof(*s));
 	s->backends = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 }
 
-/* snapshot_clear() frees what it holds. */
+/* Frees its contents. */
 void snapshot_clear(struct snapshot *s)
 {
 	buf_free(&s->config);
@@ -33,7 +33,7 @@
 	s->backends = NULL;
 }
 
-/* snapshot_write() encodes one. */
+/* Encodes a snapshot. */
 void snapshot_write(const struct snapshot *s, struct buf *out)
 {
 	msgpack_packer pk;
@@ -91,8 +91,8 @@
 }
 
 /*
- * snapshot_read() decodes into s, which must be fresh. Returns 0 or -EPROTO;
- * s is to be cleared in both cases.
+ * Decodes into s, which must be freshly initialized. Returns 0 or -EPROTO; s
+ * must be cleared in both cases.
  */
 int snapshot_read(struct lstr bytes, struct snapshot *s)
 {
--- a/member/snapshot.h
+++ b/member/snapshot.h
@@ -1,7 +1,8 @@
 /*
- * What one instance knows, for another that has just started while the store
- * does not answer: the newest configuration record and the whole list of
- * backend servers, with the places from which the store is to be read on.
+ * The state of one instance, for another one that has just started while the
+ * store does not respond: the newest configuration record and the complete list
+ * of backend servers, each with the store position from which to continue
+ * reading.
  */
 #ifndef MP_MEMBER_SNAPSHOT_H
 #define MP_MEMBER_SNAPSHOT_H
@@ -9,10 +10,10 @@
 #include "member/gossip.h"
 
 struct snapshot {
-	bool has_config; /* else the receiver is to read it in the store */
+	bool has_config; /* else the receiver must read it from the store */
 	struct store_position config_pos;
-	uint32_t config_age_ms; /* it was known then that these are all */
-	struct buf config;	/* the record as the store holds it; owned */
+	uint32_t config_age_ms; /* since it was known to be the newest */
+	struct buf config;	/* the record as stored; owned */
 	struct store_position backends_pos;
 	uint32_t backends_age_ms;
 	GArray *backends; /* struct backend_change, none removed */
--- a/tests/peer_info.h
+++ b/tests/peer_info.h
@@ -1,4 +1,4 @@
-/* What instances say of themselves, for tests. */
+/* Sample peer_info for tests. */
 #ifndef MP_TESTS_PEER_INFO_H
 #define MP_TESTS_PEER_INFO_H
 
@@ -6,7 +6,7 @@
 
 #include "member/peers.h"
 
-/* An instance "eN" in data centre dc-1. */
+/* Returns the info of instance "eN" in data centre dc-1. */
 static inline struct peer_info info(const char *name, uint64_t boot)
 {
 	struct peer_info p = {.boot_id = boot,
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -1,6 +1,6 @@
 /*
- * Tests of member/gossip and member/snapshot: what one instance writes another
- * one reads, and nothing else is taken for it.
+ * Tests of member/gossip and member/snapshot: messages survive a round trip,
+ * and truncated or invalid ones are rejected.
  */
 #include "tests/unit.h"
 
@@ -32,8 +32,8 @@
 	}
 }
 
-/* No part of a message is taken for one, and nothing is read beyond it. */
-static void refuse_prefixes(const struct buf *b)
+/* Every truncated message is rejected, without reading beyond its end. */
+static void assert_prefixes_rejected(const struct buf *b)
 {
 	struct gossip_message m;
 
@@ -87,10 +87,10 @@
 }
 
 /*
- * Datagrams with bytes changed, by seed: each is refused, or read without
- * harm, with names that end where they should.
+ * Datagrams with random bytes changed: each is rejected, or decoded without
+ * reading out of bounds, with terminated names.
  */
-static void test_mangled_datagrams(void **state)
+static void test_corrupted_datagrams(void **state)
 {
 	struct peer_info self = info("e3", 77);
 	struct backend_feed f = {.from = {2, 90}, .to = {2, 110}, .age_ms = 3};
@@ -116,25 +116,30 @@
 		}
 		g_free(copy);
 	}
-	/* Most changes hit a number or a letter of a name. */
+	/*
+	 * Many changes only hit a number or a letter of a name, so some
+	 * datagrams decode.
+	 */
 	assert_in_range(taken, 1, 19999);
 	g_array_unref(f.changes);
 	buf_free(&b);
 	g_rand_free(rand);
 }
 
-/* News of ends arrive whole; a kind that isn't known makes them unreadable. */
-static void test_crash_news(void **state)
+/* Crash notices survive a round trip; an unknown kind is rejected. */
+static void test_crash_notices(void **state)
 {
 	struct peer_info self = info("e3", 77);
-	struct crash_notice news[CRASH_NOTICES_MAX + 1], strange = {9, 1, 1};
+	struct crash_notice notices[CRASH_NOTICES_MAX + 1],
+		unknown_kind = {9, 1, 1};
 	struct gossip_message m;
 	struct buf b = {0};
 
-	for (unsigned i = 0; i < G_N_ELEMENTS(news); i++)
-		news[i] = (struct crash_notice){CRASH_NOTICE_CRASHED + i % 3,
-						UINT64_MAX - i, UINT32_MAX - i};
-	gossip_write_crashes(&b, &self, news, CRASH_NOTICES_MAX);
+	for (unsigned i = 0; i < G_N_ELEMENTS(notices); i++)
+		notices[i] =
+			(struct crash_notice){CRASH_NOTICE_CRASHED + i % 3,
+					      UINT64_MAX - i, UINT32_MAX - i};
+	gossip_write_crashes(&b, &self, notices, CRASH_NOTICES_MAX);
 	assert_true(b.len <= GOSSIP_MAX);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_CRASHES);
@@ -143,14 +148,14 @@
 		const struct crash_notice *n =
 			&g_array_index(m.crashes, struct crash_notice, i);
 
-		assert_int_equal(n->kind, news[i].kind);
-		assert_true(n->digest == news[i].digest);
-		assert_int_equal(n->detail, news[i].detail);
+		assert_int_equal(n->kind, notices[i].kind);
+		assert_true(n->digest == notices[i].digest);
+		assert_int_equal(n->detail, notices[i].detail);
 	}
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
-	gossip_write_crashes(&b, &self, &strange, 1);
+	gossip_write_crashes(&b, &self, &unknown_kind, 1);
 	assert_int_not_equal(gossip_read(buf_lstr(&b), &m), 0);
 	gossip_message_clear(&m);
 	buf_free(&b);
@@ -192,12 +197,15 @@
 			&g_array_index(f.changes, struct backend_change, i),
 			sizeof(struct backend_change));
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 	g_array_unref(f.changes);
 }
 
-/* A roster of 1,000 in parts that fit a datagram each, and who somebody is. */
+/*
+ * A roster of 1,000 entries in parts that fit a datagram each, and the other
+ * messages about the roster.
+ */
 static void test_roll_round_trip(void **state)
 {
 	struct peer_info self = info("e3", 77), other = info("e4", 78);
@@ -231,26 +239,26 @@
 	}
 	assert_int_equal(seen, 1000);
 	assert_int_equal(next, 0);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
 	gossip_write_info_request(&b, &self, 4711);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.info_id, 4711);
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
 	gossip_write_roster_digest(&b, &self, 99);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_ROSTER_DIGEST);
 	assert_int_equal(m.digest, 99);
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
 	gossip_write_roster_request(&b, &self);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_ROSTER_REQUEST);
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
 	gossip_write_info(&b, &self, &other);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
@@ -258,7 +266,7 @@
 	assert_string_equal(m.info.name, "e4");
 	assert_string_equal(m.info.caller_addr, other.caller_addr);
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 	roster_clear(&r);
 }
@@ -271,7 +279,10 @@
 	struct buf b = {0};
 
 	gossip_write_load(&b, &l);
-	/* Told some twenty times a second to each: it was 104 bytes here. */
+	/*
+	 * Sent about twenty times a second to each peer. With the sender's full
+	 * info it was 104 bytes.
+	 */
 	assert_true(b.len <= 25);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_LOAD);
@@ -280,7 +291,7 @@
 	assert_int_equal(m.load.n, 2);
 	assert_memory_equal(m.load.items, l.items, 2 * sizeof(*l.items));
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 }
 
@@ -310,11 +321,11 @@
 		assert_int_equal(it->heard_ago_ms, l.items[i].heard_ago_ms);
 	}
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 }
 
-static void test_call_round_trip(void **state)
+static void test_grant_round_trip(void **state)
 {
 	struct limit_call l = {.from = peer_id("e3"), .what = 9, .serial = 11};
 
@@ -333,13 +344,13 @@
 		assert_int_equal(m.call.what, 9);
 		assert_int_equal(m.call.serial, 11);
 		gossip_message_clear(&m);
-		refuse_prefixes(&b);
+		assert_prefixes_rejected(&b);
 		buf_free(&b);
 	}
 }
 
-/* What is no limit is refused, whoever sends it. */
-static void test_leaving_round_trip(void **state)
+/* A full drain message fits a datagram and survives a round trip. */
+static void test_draining_round_trip(void **state)
 {
 	struct drain_news l = {.peer = peer_id("e3"), .n = DRAIN_NEWS_MAX};
 	struct gossip_message m;
@@ -361,11 +372,12 @@
 		assert_true(m.drain.items[i].born_ms == l.items[i].born_ms);
 	}
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 }
 
-static void test_limits_that_are_none(void **state)
+/* Negative, infinite and NaN limits are rejected. */
+static void test_invalid_limits_rejected(void **state)
 {
 	static const double bad[] = {-1, NAN, INFINITY};
 	struct limit_news l = {.peer = 1, .n = 1};
@@ -382,7 +394,10 @@
 	}
 }
 
-/* Many changes known to all: the newest fit, and it says what it covers. */
+/*
+ * Changes that all peers know already: the newest that fit one datagram are
+ * repeated, with the positions that they cover.
+ */
 static void test_feed_fits(void **state)
 {
 	struct peer_info self = info("e3", 77);
@@ -410,10 +425,11 @@
 }
 
 /*
- * Many new changes at once, as when many servers start: they come in as many
- * datagrams as they need, without a gap, and only the last tells the age.
+ * Many new changes at once, as when many servers start: they are split over as
+ * many datagrams as needed, without a gap, and only the last one carries the
+ * age.
  */
-static void test_feed_in_parts(void **state)
+static void test_feed_split_over_datagrams(void **state)
 {
 	struct peer_info self = info("e3", 77);
 	struct backend_feed f = {.from = {2, 90}, .to = {2, 400}, .age_ms = 3};
@@ -439,7 +455,7 @@
 		gossip_message_clear(&m);
 	}
 	assert_int_equal(next, 400);
-	/* More than may be sent: the newest of it. */
+	/* Limited by changes_max: only the newest. */
 	at = gossip_feed_first(&f, (struct store_position){2, 0}, 24);
 	assert_int_equal(at, 200 - 24);
 	b.len = 0;
@@ -459,16 +475,16 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_snapshot),
 		cmocka_unit_test(test_round_trip),
-		cmocka_unit_test(test_mangled_datagrams),
-		cmocka_unit_test(test_crash_news),
+		cmocka_unit_test(test_corrupted_datagrams),
+		cmocka_unit_test(test_crash_notices),
 		cmocka_unit_test(test_load_round_trip),
 		cmocka_unit_test(test_limits_round_trip),
-		cmocka_unit_test(test_leaving_round_trip),
-		cmocka_unit_test(test_limits_that_are_none),
-		cmocka_unit_test(test_call_round_trip),
+		cmocka_unit_test(test_draining_round_trip),
+		cmocka_unit_test(test_invalid_limits_rejected),
+		cmocka_unit_test(test_grant_round_trip),
 		cmocka_unit_test(test_roll_round_trip),
 		cmocka_unit_test(test_feed_fits),
-		cmocka_unit_test(test_feed_in_parts),
+		cmocka_unit_test(test_feed_split_over_datagrams),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_select_instances.c
+++ b/tests/test_select_instances.c
@@ -1,12 +1,13 @@
-/* Tests of member/select_instances: which instances a caller is told of. */
+/* Tests of member/select_instances: which instances a caller is given. */
 #include "tests/unit.h"
 
 #include "member/select_instances.h"
 
 enum { ALL = 100, ANSWER = 64 };
 
-/* `counts` instances in each of the data centres dc-0, dc-1 and so on. */
-static size_t make(struct peer_endpoint *all, const size_t *counts, size_t dcs)
+/* Adds counts[d] instances in data centre dc-d; returns their number. */
+static size_t create_instances(struct peer_endpoint *all, const size_t *counts,
+			       size_t dcs)
 {
 	size_t n = 0;
 
@@ -20,7 +21,8 @@
 	return n;
 }
 
-static size_t of_dc(const struct peer_endpoint **out, size_t n, const char *dc)
+static size_t count_in_dc(const struct peer_endpoint **out, size_t n,
+			  const char *dc)
 {
 	size_t count = 0;
 
@@ -29,24 +31,24 @@
 	return count;
 }
 
-static void test_own_dc(void **state)
+static void test_prefers_own_dc(void **state)
 {
 	struct peer_endpoint all[ALL];
 	const struct peer_endpoint *out[ANSWER];
 	GRand *rand = g_rand_new_with_seed(1);
-	size_t n = make(all, (size_t[]){30, 8, 3}, 3);
+	size_t n = create_instances(all, (size_t[]){30, 8, 3}, 3);
 
 	assert_int_equal(select_instances(all, n, "dc-0", rand, out, ANSWER),
 			 30);
-	assert_int_equal(of_dc(out, 30, "dc-0"), 30);
+	assert_int_equal(count_in_dc(out, 30, "dc-0"), 30);
 	assert_int_equal(select_instances(all, n, "dc-1", rand, out, ANSWER),
 			 8);
-	assert_int_equal(of_dc(out, 8, "dc-1"), 8);
-	/* Three may all be lost: the others are named as well. */
+	assert_int_equal(count_in_dc(out, 8, "dc-1"), 8);
+	/* Three may all fail at once, so others are listed as well. */
 	assert_int_equal(select_instances(all, n, "dc-2", rand, out, ANSWER),
 			 41);
-	assert_int_equal(of_dc(out, 41, "dc-2"), 3);
-	/* A caller from elsewhere. */
+	assert_int_equal(count_in_dc(out, 41, "dc-2"), 3);
+	/* A caller from elsewhere, or from an unknown data centre. */
 	assert_int_equal(select_instances(all, n, "dc-9", rand, out, ANSWER),
 			 41);
 	assert_int_equal(select_instances(all, n, "", rand, out, ANSWER), 41);
@@ -55,13 +57,16 @@
 	g_rand_free(rand);
 }
 
-/* More than an answer holds: each is named at some time, none twice. */
-static void test_more_than_fit(void **state)
+/*
+ * With more instances than fit a response, each is selected at some point, none
+ * twice in one response.
+ */
+static void test_selection_covers_all(void **state)
 {
 	struct peer_endpoint all[ALL];
 	const struct peer_endpoint *out[ANSWER];
 	GRand *rand = g_rand_new_with_seed(2);
-	size_t n = make(all, (size_t[]){90, 2}, 2);
+	size_t n = create_instances(all, (size_t[]){90, 2}, 2);
 	unsigned seen[ALL] = {0};
 
 	for (int i = 0; i < 100; i++) {
@@ -79,8 +84,8 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_own_dc),
-		cmocka_unit_test(test_more_than_fit),
+		cmocka_unit_test(test_prefers_own_dc),
+		cmocka_unit_test(test_selection_covers_all),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
