--- a/tests/test_crash_check.c
+++ b/tests/test_crash_check.c
@@ -1,6 +1,6 @@
 /*
- * Tests of traffic/crash_check, and of what the traffic side does with verdicts
- * on requests that end servers.
+ * Tests of traffic/crash_check, and of how the traffic thread applies verdicts
+ * on requests that crash servers.
  */
 #include "tests/unit.h"
 
@@ -14,17 +14,17 @@
 #include "traffic/crash_check.h"
 #include "traffic/request.h"
 
-enum { NEWS_MAX = 16, CHECK_MS = 150 };
+enum { NOTICES_MAX = 16, CHECK_MS = 150 };
 
-static struct crash_notice news[NEWS_MAX];
-static unsigned nnews;
+static struct crash_notice notices[NOTICES_MAX];
+static unsigned notice_count;
 
-static void on_news(void *priv, struct mail *m)
+static void on_notice(void *priv, struct mail *m)
 {
 	if (m->kind != FROM_TRAFFIC_CRASH)
 		return;
-	assert_true(nnews < NEWS_MAX);
-	news[nnews++] = *(struct crash_notice *)m->data;
+	assert_true(notice_count < NOTICES_MAX);
+	notices[notice_count++] = *(struct crash_notice *)m->data;
 	g_free(m->data);
 }
 
@@ -32,8 +32,8 @@
 {
 	struct bench *b = bench_new(servers);
 
-	nnews = 0;
-	mailbox_init(&b->control, b->loop, on_news, NULL);
+	notice_count = 0;
+	mailbox_init(&b->control, b->loop, on_notice, NULL);
 	return b;
 }
 
@@ -54,7 +54,9 @@
 	return backend_start_hash(&s->entry);
 }
 
-/* The request that all attempts of this method are here. */
+/*
+ * Returns the digest of the request that bench_call() makes with this method.
+ */
 static uint64_t digest_of(const char *method)
 {
 	bool get = !strcmp(method, "GET");
@@ -72,8 +74,8 @@
 	quarantine_set(&b->traffic.quarantine, &v);
 }
 
-/* Each end is reported once, with the request and the start of the server. */
-static void test_ended(void **state)
+/* Each crash is reported once, with the request and the start of the server. */
+static void test_crash_reported(void **state)
 {
 	struct bench *b = begin(2);
 	struct caller *c;
@@ -83,19 +85,19 @@
 	c = call(b, "GET");
 	assert_int_equal(c->status, 502);
 	assert_int_equal(bench_runs(b, c), 2);
-	assert_int_equal(nnews, 2);
+	assert_int_equal(notice_count, 2);
 	for (unsigned i = 0; i < 2; i++) {
-		assert_int_equal(news[i].kind, CRASH_NOTICE_CRASHED);
-		assert_true(news[i].digest == digest_of("GET"));
+		assert_int_equal(notices[i].kind, CRASH_NOTICE_CRASHED);
+		assert_true(notices[i].digest == digest_of("GET"));
 	}
-	assert_int_not_equal(news[0].detail, news[1].detail);
-	assert_true(news[0].detail == start_of(b, "i-0") ||
-		    news[0].detail == start_of(b, "i-1"));
+	assert_int_not_equal(notices[0].detail, notices[1].detail);
+	assert_true(notices[0].detail == start_of(b, "i-0") ||
+		    notices[0].detail == start_of(b, "i-1"));
 	bench_free(b);
 }
 
-/* A connection that breaks at a server which lives is no end. */
-static void test_lives(void **state)
+/* A connection that breaks at a live server is not a crash. */
+static void test_live_server_not_reported(void **state)
 {
 	static const enum script scripts[] = {SCRIPT_RUN_RESET, SCRIPT_RUN_CUT,
 					      SCRIPT_RUN_GARBAGE};
@@ -105,12 +107,12 @@
 
 		bench_script(b, 0, scripts[i]);
 		call(b, "POST");
-		assert_int_equal(nnews, 0);
+		assert_int_equal(notice_count, 0);
 		bench_free(b);
 	}
 }
 
-/* Another start answers at the address: the one that had it has ended. */
+/* If another start responds at the address, the previous one has ended. */
 static void test_another_start(void **state)
 {
 	struct bench *b = begin(1);
@@ -124,13 +126,16 @@
 	strcpy(b->servers[0].id, "i-0-again");
 	bench_run_until(b, c);
 	bench_run_ms(b, CHECK_MS);
-	assert_int_equal(nnews, 1);
-	assert_int_equal(news[0].detail, start);
+	assert_int_equal(notice_count, 1);
+	assert_int_equal(notices[0].detail, start);
 	bench_free(b);
 }
 
-/* The request breaks, and whoever asks then is reset by something between. */
-static struct bench *begin_unsure(void)
+/*
+ * The connection of a request breaks, and the first probe is reset by something
+ * in between.
+ */
+static struct bench *begin_inconclusive(void)
 {
 	struct bench *b = begin(1);
 	struct caller *c;
@@ -142,43 +147,46 @@
 	b->servers[0].mute = true;
 	bench_run_until(b, c);
 	bench_run_ms(b, CHECK_MS);
-	assert_int_equal(nnews, 0);
+	assert_int_equal(notice_count, 0);
 	return b;
 }
 
-/* Asked again until another start answers, or the same one, or it is gone. */
-static void test_asked_again(void **state)
+/*
+ * The probe is repeated until another start responds, the same one responds, or
+ * the server leaves the list.
+ */
+static void test_probe_repeated(void **state)
 {
-	struct bench *b = begin_unsure();
+	struct bench *b = begin_inconclusive();
 	uint32_t start = start_of(b, "i-0");
 
 	strcpy(b->servers[0].id, "i-0-again");
 	b->servers[0].mute = false;
 	bench_run_ms(b, 500);
-	assert_int_equal(nnews, 1);
-	assert_int_equal(news[0].detail, start);
+	assert_int_equal(notice_count, 1);
+	assert_int_equal(notices[0].detail, start);
 	bench_free(b);
-	b = begin_unsure();
+	b = begin_inconclusive();
 	b->servers[0].mute = false;
 	bench_run_ms(b, 500);
-	assert_int_equal(nnews, 0);
+	assert_int_equal(notice_count, 0);
 	bench_free(b);
-	b = begin_unsure();
+	b = begin_inconclusive();
 	start = start_of(b, "i-0");
 	backend_set_remove(&b->traffic.backends, "i-0");
 	bench_run_ms(b, 500);
-	assert_int_equal(nnews, 1);
-	assert_int_equal(news[0].detail, start);
+	assert_int_equal(notice_count, 1);
+	assert_int_equal(notices[0].detail, start);
 	bench_free(b);
 }
 
-/* Nothing is held against anybody if it never becomes clear. */
-static void test_never_sure(void **state)
+/* Nothing is reported if the result stays inconclusive. */
+static void test_inconclusive(void **state)
 {
-	struct bench *b = begin_unsure();
+	struct bench *b = begin_inconclusive();
 
 	bench_run_ms(b, 3500);
-	assert_int_equal(nnews, 0);
+	assert_int_equal(notice_count, 0);
 	assert_int_equal(b->traffic.counters.end_checks, 6);
 	bench_free(b);
 }
@@ -191,7 +199,7 @@
 	server_state_back_off(s->state, 5, 0, clock_ms());
 }
 
-static void test_asked_during_backoff(void **state)
+static void test_no_probe_during_backoff(void **state)
 {
 	struct bench *b = begin(1);
 	struct caller *c;
@@ -209,9 +217,9 @@
 	bench_free(b);
 }
 
-static void test_asked_again_during_backoff(void **state)
+static void test_no_repeated_probe_during_backoff(void **state)
 {
-	struct bench *b = begin_unsure();
+	struct bench *b = begin_inconclusive();
 	unsigned asked;
 
 	back_off(b);
@@ -221,8 +229,8 @@
 	bench_free(b);
 }
 
-/* The list tells of a new start under the same id: nothing is to be asked. */
-static void test_born_again(void **state)
+/* A new start under the same id is listed: no probe is needed. */
+static void test_listed_restart(void **state)
 {
 	struct bench *b = begin(1);
 	uint32_t start = start_of(b, "i-0");
@@ -232,13 +240,13 @@
 	bench_run_ms(b, 30);
 	bench_restart(b, 0, 12345);
 	bench_run_ms(b, 20);
-	assert_int_equal(nnews, 1);
-	assert_int_equal(news[0].detail, start);
+	assert_int_equal(notice_count, 1);
+	assert_int_equal(notices[0].detail, start);
 	assert_int_equal(b->traffic.counters.end_checks, 0);
 	bench_free(b);
 }
 
-/* A server that leaves as planned ends under whatever it still has. */
+/* A draining server may end while requests are in flight. */
 static void test_draining(void **state)
 {
 	struct bench *b = begin(1);
@@ -251,12 +259,12 @@
 	bench_drain(b, 0);
 	bench_run_until(b, c);
 	bench_run_ms(b, CHECK_MS);
-	assert_int_equal(nnews, 0);
+	assert_int_equal(notice_count, 0);
 	bench_free(b);
 }
 
-/* One answer lately outweighs one end; a second end counts. */
-static void test_forgiven(void **state)
+/* One recent response outweighs one crash, but not a second. */
+static void test_recent_response_outweighs_crash(void **state)
 {
 	struct bench *b = begin(3);
 
@@ -264,28 +272,31 @@
 	for (int i = 0; i < 3; i++)
 		bench_script(b, i, SCRIPT_END);
 	call(b, "POST");
-	assert_int_equal(nnews, 0);
+	assert_int_equal(notice_count, 0);
 	call(b, "POST");
-	assert_int_equal(nnews, 1);
+	assert_int_equal(notice_count, 1);
 	bench_free(b);
 }
 
-/* An answer to a request that something is held against is reported. */
-static void test_answered(void **state)
+/* A response to a suspected request is reported. */
+static void test_response_reported(void **state)
 {
 	struct bench *b = begin(1);
 
 	call(b, "GET");
-	assert_int_equal(nnews, 0);
+	assert_int_equal(notice_count, 0);
 	set_verdict(b, VERDICT_SUSPECT);
 	assert_int_equal(call(b, "GET")->status, 200);
-	assert_int_equal(nnews, 1);
-	assert_int_equal(news[0].kind, CRASH_NOTICE_ANSWERED);
+	assert_int_equal(notice_count, 1);
+	assert_int_equal(notices[0].kind, CRASH_NOTICE_ANSWERED);
 	bench_free(b);
 }
 
-/* Refused at once, truly not run, with the time of the next trial. */
-static void test_refused(void **state)
+/*
+ * A quarantined request is refused at once without being run, with the time of
+ * the next trial.
+ */
+static void test_quarantined_refused(void **state)
 {
 	struct bench *b = begin(1);
 	struct caller *c, *other;
@@ -309,8 +320,8 @@
 	bench_free(b);
 }
 
-/* A verdict doesn't take an answer from one that a server already runs. */
-static void test_under_way(void **state)
+/* A request that is already running still gets its response. */
+static void test_running_request_completes(void **state)
 {
 	struct bench *b = begin(1);
 	struct caller *c;
@@ -324,8 +335,8 @@
 	bench_free(b);
 }
 
-/* But it isn't sent on: what has run ends as unknown, not as refused. */
-static void test_not_sent_on(void **state)
+/* But it is not retried: after one run it ends as unknown, not as refused. */
+static void test_not_retried(void **state)
 {
 	struct bench *b = begin(2);
 	struct caller *c;
@@ -343,8 +354,10 @@
 	bench_free(b);
 }
 
-/* One that waits for room when the verdict comes is refused soon. */
-static void test_waiting(void **state)
+/*
+ * A request that waits for capacity when the verdict arrives is refused soon.
+ */
+static void test_waiting_request_refused(void **state)
 {
 	struct bench *b = begin(1);
 	struct caller *c;
@@ -363,8 +376,11 @@
 	bench_free(b);
 }
 
-/* Of the copies that come when a term is over one goes to one server. */
-static void test_trial(void **state)
+/*
+ * When a quarantine term ends, only one copy of the request is sent, to one
+ * server.
+ */
+static void test_single_trial(void **state)
 {
 	struct bench *b = begin(2);
 	struct caller *first, *second;
@@ -383,8 +399,11 @@
 	bench_free(b);
 }
 
-/* No second server gets a suspect while the first may be ending under it. */
-static void test_no_second(void **state)
+/*
+ * A suspected request is not sent to a second server while the first may be
+ * crashing.
+ */
+static void test_no_second_server(void **state)
 {
 	struct bench *b = begin(2);
 	struct caller *c;
@@ -399,7 +418,7 @@
 	bench_free(b);
 }
 
-/* Switched off, nothing is asked and nothing held against a request. */
+/* With the mechanism off nothing is probed and nothing is reported. */
 static void test_off(void **state)
 {
 	struct bench *b = begin(2);
@@ -408,7 +427,7 @@
 	bench_script(b, 0, SCRIPT_END);
 	bench_script(b, 1, SCRIPT_END);
 	call(b, "GET");
-	assert_int_equal(nnews, 0);
+	assert_int_equal(notice_count, 0);
 	mechanisms.quarantine = true;
 	bench_free(b);
 }
@@ -416,23 +435,23 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_ended),
-		cmocka_unit_test(test_lives),
+		cmocka_unit_test(test_crash_reported),
+		cmocka_unit_test(test_live_server_not_reported),
 		cmocka_unit_test(test_another_start),
-		cmocka_unit_test(test_asked_again),
-		cmocka_unit_test(test_never_sure),
-		cmocka_unit_test(test_asked_during_backoff),
-		cmocka_unit_test(test_asked_again_during_backoff),
-		cmocka_unit_test(test_born_again),
+		cmocka_unit_test(test_probe_repeated),
+		cmocka_unit_test(test_inconclusive),
+		cmocka_unit_test(test_no_probe_during_backoff),
+		cmocka_unit_test(test_no_repeated_probe_during_backoff),
+		cmocka_unit_test(test_listed_restart),
 		cmocka_unit_test(test_draining),
-		cmocka_unit_test(test_forgiven),
-		cmocka_unit_test(test_answered),
-		cmocka_unit_test(test_refused),
-		cmocka_unit_test(test_under_way),
-		cmocka_unit_test(test_not_sent_on),
-		cmocka_unit_test(test_waiting),
-		cmocka_unit_test(test_trial),
-		cmocka_unit_test(test_no_second),
+		cmocka_unit_test(test_recent_response_outweighs_crash),
+		cmocka_unit_test(test_response_reported),
+		cmocka_unit_test(test_quarantined_refused),
+		cmocka_unit_test(test_running_request_completes),
+		cmocka_unit_test(test_not_retried),
+		cmocka_unit_test(test_waiting_request_refused),
+		cmocka_unit_test(test_single_trial),
+		cmocka_unit_test(test_no_second_server),
 		cmocka_unit_test(test_off),
 	};
 
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,15 +1,18 @@
 /*
  * Tests of traffic/limits, traffic/limit_sends and traffic/request_wait: the
- * traffic side with servers that name limits, and what it and its peers tell each
- * other.
+ * traffic thread with servers that set limits, and its messages to and from
+ * peers.
  */
 #include "tests/unit.h"
 
 #include "tests/bench.h"
 
-enum { OTHER = 77 }; /* id of a peer */
+enum { PEER_ID = 77 }; /* id of a peer */
 
-/* The traffic side learns who shares; itself first, `others` besides. */
+/*
+ * Tells the traffic thread which instances share limits: itself and `others`
+ * more.
+ */
 static void tell_sharers(struct bench *b, unsigned others)
 {
 	struct peer_view *v = g_new0(struct peer_view, 1);
@@ -17,7 +20,7 @@
 	v->instances = others + 1;
 	v->sharers = g_array_new(FALSE, FALSE, sizeof(struct limit_sharer));
 	for (unsigned i = 0; i <= others; i++) {
-		struct limit_sharer s = {OTHER - 1 + i, 1};
+		struct limit_sharer s = {PEER_ID - 1 + i, 1};
 
 		g_array_append_val(v->sharers, s);
 	}
@@ -30,7 +33,7 @@
 	return g_hash_table_lookup(b->traffic.backends.by_id, b->servers[i].id);
 }
 
-/* One call after the other; returns how many were served. */
+/* Makes calls one after the other; returns how many were served. */
 static int call_times(struct bench *b, int n)
 {
 	int served = 0;
@@ -44,8 +47,11 @@
 	return served;
 }
 
-/* Sees to it that each server has answered, so that it is known what it names. */
-static void acquaint(struct bench *b)
+/*
+ * Calls until each server has responded, so that its limit or lack of one is
+ * known.
+ */
+static void warm_up(struct bench *b)
 {
 	bool all = false;
 
@@ -60,15 +66,21 @@
 		b->servers[k].received = 0;
 }
 
-/* It gets what was saved and is earned; the other serves the rest. */
-static void test_one_in_need(void **state)
+/*
+ * A limited server gets its saved-up and newly earned sends; the other server
+ * serves the rest.
+ */
+static void test_one_limited(void **state)
 {
 	struct bench *b = bench_new(2);
 
 	tell_sharers(b, 0);
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = "1";
-	/* Until it is heard it goes on; then floor(1.5 + 3) may be saved. */
+	/*
+	 * Sends continue until the limit is received; then floor(1.5 + 3) may
+	 * be saved up.
+	 */
 	assert_int_equal(call_times(b, 60), 60);
 	assert_true(backend_is_limited(backend_of(b, 0)));
 	assert_true(b->servers[0].received >= 1);
@@ -77,12 +89,15 @@
 	bench_free(b);
 }
 
-/* Who shares isn't known: nothing is held, and the server gets nothing more. */
+/*
+ * While the sharers are unknown this instance holds no share, so the server
+ * gets nothing more.
+ */
 static void test_sharers_unknown(void **state)
 {
 	struct bench *b = bench_new(2);
 
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = "100";
 	call_times(b, 20);
 	b->servers[0].received = 0;
@@ -91,13 +106,13 @@
 	bench_free(b);
 }
 
-/* It says so no more: it gets its part at once. */
-static void test_ends(void **state)
+/* A server that stops setting a limit gets its normal part at once. */
+static void test_limit_ends(void **state)
 {
 	struct bench *b = bench_new(2);
 
 	tell_sharers(b, 0);
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = "50";
 	call_times(b, 20);
 	assert_true(backend_is_limited(backend_of(b, 0)));
@@ -107,13 +122,13 @@
 	bench_free(b);
 }
 
-/* What is no number changes nothing. */
-static void test_bad_value(void **state)
+/* An invalid limit changes nothing. */
+static void test_invalid_limit(void **state)
 {
 	struct bench *b = bench_new(1);
 
 	tell_sharers(b, 0);
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = "plenty";
 	assert_int_equal(call_times(b, 10), 10);
 	assert_null(backend_of(b, 0)->state->limit);
@@ -127,14 +142,17 @@
 	bench_free(b);
 }
 
-/* All in need and nothing left: refused at once, with the time of a turn. */
-static void test_all_in_need(void **state)
+/*
+ * All servers are limited and no sends are left: refused at once, with a time
+ * to retry.
+ */
+static void test_all_limited(void **state)
 {
 	struct bench *b = bench_new(2);
 	double last = 0;
 
 	tell_sharers(b, 0);
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = b->servers[1].limit = "1";
 	call_times(b, 30);
 	b->servers[0].received = b->servers[1].received = 0;
@@ -145,9 +163,12 @@
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 503);
 		assert_int_equal(bench_runs(b, c), 0);
-		/* Two questions to peers' time at most. */
+		/* Two requests for grants at most. */
 		assert_true(clock_ms() - t0 < 60);
-		/* Turns are earned at two a second, each is promised once. */
+		/*
+		 * Two sends are earned per second, and each is promised to one
+		 * caller.
+		 */
 		if (i)
 			assert_true(c->retry_after > last + 0.3);
 		last = c->retry_after;
@@ -156,15 +177,17 @@
 	bench_free(b);
 }
 
-/* The server's word through a peer counts where the server hasn't said it. */
-static void test_told_by_a_peer(void **state)
+/*
+ * A limit that a peer has passed on applies if the server has not sent it here.
+ */
+static void test_limit_from_peer(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct limit_news *news = g_new0(struct limit_news, 1);
 
 	tell_sharers(b, 0);
-	acquaint(b);
-	*news = (struct limit_news){.peer = OTHER, .n = 2};
+	warm_up(b);
+	*news = (struct limit_news){.peer = PEER_ID, .n = 2};
 	news->items[0] =
 		(struct limit_item){backend_of(b, 0)->start, true, 0, 20, 10};
 	news->items[1] = (struct limit_item){12345, true, 0, 20, 10};
@@ -175,7 +198,10 @@
 	b->servers[0].limit = "0";
 	assert_int_equal(call_times(b, 20), 20);
 	assert_true(b->servers[0].received <= 3);
-	/* The first answer that names none is of after what the peer heard. */
+	/*
+	 * The first response without a limit was requested after the peer
+	 * received the limit.
+	 */
 	b->servers[0].limit = NULL;
 	backend_of(b, 0)->state->limit->looks = true;
 	call_times(b, 10);
@@ -183,7 +209,7 @@
 	bench_free(b);
 }
 
-static void list(struct bench *b, int i, bool removed)
+static void list_server(struct bench *b, int i, bool removed)
 {
 	struct backend_change *c = g_new0(struct backend_change, 1);
 
@@ -195,35 +221,38 @@
 	bench_run_ms(b, 5);
 }
 
-static void test_limit_lost_with_the_entry(void **state)
+static void test_limit_survives_entry(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct limit_part before;
 
 	tell_sharers(b, 0);
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = "1";
 	call_times(b, 40);
 	before = backend_of(b, 0)->state->limit->share.part;
-	list(b, 0, true);
+	list_server(b, 0, true);
 	assert_null(backend_of(b, 0));
-	/* Others share it by the time it is back: this one holds less, or nothing. */
+	/*
+	 * More instances share it by the time the server is back, so this one
+	 * holds less, or nothing.
+	 */
 	tell_sharers(b, 300);
-	list(b, 0, false);
+	list_server(b, 0, false);
 	assert_true(backend_is_limited(backend_of(b, 0)));
 	assert_true(backend_of(b, 0)->state->limit->share.part.rate_s <
 		    before.rate_s);
 	bench_free(b);
 }
 
-/* A second send doesn't go to a server in need. */
+/* No second send of a request goes to a limited server. */
 static void test_no_second_send(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct caller *c;
 
 	tell_sharers(b, 0);
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = "100";
 	b->servers[1].limit = "100";
 	call_times(b, 10);
@@ -237,7 +266,7 @@
 	bench_free(b);
 }
 
-/* A grant serves one request, and only as an answer to a question. */
+/* A grant covers one request, and only if it replies to a request for one. */
 static void test_grant(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -245,7 +274,7 @@
 	struct service *s;
 	struct caller *c;
 
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = "5";
 	call_times(b, 1);
 	b->servers[0].received = 0;
@@ -255,7 +284,7 @@
 		bench_run_ms(b, 5);
 		assert_true(c->open);
 		grant = g_new0(struct limit_call, 1);
-		*grant = (struct limit_call){true, OTHER, 0,
+		*grant = (struct limit_call){true, PEER_ID, 0,
 					     backend_of(b, 0)->start,
 					     s->want.serial - !asked};
 		mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMIT_CALL, grant);
@@ -267,37 +296,40 @@
 	bench_free(b);
 }
 
-static void ask_for_one(struct bench *b)
+static void request_grant(struct bench *b)
 {
 	struct limit_call *q = g_new0(struct limit_call, 1);
 
 	*q = (struct limit_call){
-		.from = OTHER, .what = g_str_hash("harta"), .serial = 9};
+		.from = PEER_ID, .what = g_str_hash("harta"), .serial = 9};
 	mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMIT_CALL, q);
 	bench_run_ms(b, 5);
 }
 
-/* What is given up is gone here; who is short himself gives nothing. */
-static void test_gives_up(void **state)
+/*
+ * A send given up is gone here; an instance that is short itself gives up
+ * nothing.
+ */
+static void test_give_up_send(void **state)
 {
 	struct bench *b = bench_new(1);
 	const struct limit_share *share;
 	double before;
 
 	tell_sharers(b, 0);
-	acquaint(b);
+	warm_up(b);
 	b->servers[0].limit = "20";
 	call_times(b, 1);
 	share = &backend_of(b, 0)->state->limit->share;
 	before = share->tokens;
 	assert_true(before >= 2);
-	ask_for_one(b);
+	request_grant(b);
 	assert_int_equal(b->traffic.counters.limits_given, 1);
 	assert_true(share->tokens < before - 0.9);
-	/* There is more, but a request of its own callers has just missed some. */
+	/* There are more, but a request of an own caller has just run short. */
 	assert_true(share->tokens >= 1);
 	backend_of(b, 0)->service->pressed_ms = clock_ms();
-	ask_for_one(b);
+	request_grant(b);
 	assert_int_equal(b->traffic.counters.limits_given, 1);
 	bench_free(b);
 }
@@ -305,16 +337,16 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_one_in_need),
+		cmocka_unit_test(test_one_limited),
 		cmocka_unit_test(test_sharers_unknown),
-		cmocka_unit_test(test_ends),
-		cmocka_unit_test(test_bad_value),
-		cmocka_unit_test(test_all_in_need),
-		cmocka_unit_test(test_told_by_a_peer),
-		cmocka_unit_test(test_limit_lost_with_the_entry),
+		cmocka_unit_test(test_limit_ends),
+		cmocka_unit_test(test_invalid_limit),
+		cmocka_unit_test(test_all_limited),
+		cmocka_unit_test(test_limit_from_peer),
+		cmocka_unit_test(test_limit_survives_entry),
 		cmocka_unit_test(test_no_second_send),
 		cmocka_unit_test(test_grant),
-		cmocka_unit_test(test_gives_up),
+		cmocka_unit_test(test_give_up_send),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_server_backoff.c
+++ b/tests/test_server_backoff.c
@@ -1,11 +1,14 @@
-/* Servers that ask to back off or announce that they drain: what they get afterwards. */
+/*
+ * Tests of what servers get after they have asked to back off or announced that
+ * they drain.
+ */
 #include "tests/unit.h"
 
 #include "tests/bench.h"
 
 enum { ROUNDS_MAX = 100 };
 
-/* Calls one after the other until server i has got one; its counts begin anew. */
+/* Calls until server i has received a request, then resets its counts. */
 static void call_until_received(struct bench *b, int i)
 {
 	b->servers[i].received = 0;
@@ -15,7 +18,10 @@
 	b->servers[i].received = b->servers[i].asked = 0;
 }
 
-/* Calls for some time; returns how many were served. */
+/*
+ * Makes calls for `ms`; returns how many were served, and sets `calls` to their
+ * number.
+ */
 static int call_for_ms(struct bench *b, int ms, int *calls)
 {
 	int64_t end = clock_ms() + ms;
@@ -32,7 +38,7 @@
 	return served;
 }
 
-/* Calls until server i has turned one away and asked to back off. */
+/* Calls until server i has rejected a request and asked to back off. */
 static void ask_to_back_off(struct bench *b, int i, const char *header)
 {
 	b->servers[i].script = SCRIPT_REFUSE;
@@ -67,7 +73,7 @@
 	bench_put(b, i, false);
 }
 
-static void test_requests_during_backoff(void **state)
+static void test_no_requests_during_backoff(void **state)
 {
 	for (int told = 0; told < 2; told++) {
 		struct bench *b = bench_new(2);
@@ -80,7 +86,7 @@
 	}
 }
 
-static void test_report_of_one_that_turns_away_taken_as_room(void **state)
+static void test_load_report_with_backoff_ignored(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct backend *s =
@@ -91,7 +97,7 @@
 	bench_free(b);
 }
 
-static void test_backoff_lost_with_the_entry(void **state)
+static void test_backoff_survives_entry(void **state)
 {
 	struct bench *b = bench_new(2);
 
@@ -102,8 +108,8 @@
 	bench_free(b);
 }
 
-/* A later start under the same id has asked for nothing. */
-static void test_backoff_ends_with_the_lifetime(void **state)
+/* A later start under the same id has not asked to back off. */
+static void test_backoff_ends_with_start(void **state)
 {
 	struct bench *b = bench_new(2);
 
@@ -113,12 +119,12 @@
 	bench_free(b);
 }
 
-static void test_backoff_cut_short_by_a_shorter_one(void **state)
+static void test_shorter_backoff_does_not_shorten(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct caller *first, *second;
 
-	call_until_received(b, 0); /* one that is new gets one at a time */
+	call_until_received(b, 0); /* a new server gets one request at a time */
 	b->servers[1].busy = 2;
 	b->servers[0].script = SCRIPT_REFUSE_LATE;
 	b->servers[0].work_ms = 60;
@@ -139,7 +145,7 @@
 	bench_free(b);
 }
 
-static void test_waiting_request_sent_to_the_one_that_turns_away(void **state)
+static void test_waiting_request_not_sent_during_backoff(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *first, *second;
@@ -175,7 +181,7 @@
 	bench_free(b);
 }
 
-static void test_all_back_off_refused_with_the_first_resumption(void **state)
+static void test_all_backing_off_retry_after_first(void **state)
 {
 	struct bench *b = bench_new(2);
 
@@ -195,7 +201,7 @@
 	bench_free(b);
 }
 
-static void test_all_back_off_held_for_a_near_resumption(void **state)
+static void test_all_backing_off_waits_if_short(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *c;
@@ -215,8 +221,11 @@
 	b->servers[i].says = NULL;
 }
 
-/* Neither a later entry nor a lapse ends what the server has said. */
-static void test_requests_after_draining(void **state)
+/*
+ * Neither a new entry nor a lapse of the entry ends what the server has
+ * announced.
+ */
+static void test_no_requests_after_draining(void **state)
 {
 	struct bench *b = bench_new(2);
 
@@ -231,8 +240,8 @@
 	bench_free(b);
 }
 
-/* Also one whose entry comes after the news. */
-static void test_drain_news_received_by_a_peer(void **state)
+/* Applies to a server whose entry arrives later, too. */
+static void test_draining_from_peer(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct drain_news *news = g_new0(struct drain_news, 1);
@@ -241,7 +250,7 @@
 	news->n = 2;
 	g_strlcpy(news->items[0].id, "i-0", BACKEND_NAME_MAX);
 	g_strlcpy(news->items[1].id, "i-1", BACKEND_NAME_MAX);
-	news->items[1].born_ms = 9; /* another lifetime than the one here */
+	news->items[1].born_ms = 9; /* another start than the listed one */
 	mailbox_send(&b->traffic.in, TO_TRAFFIC_DRAIN, news);
 	bench_run_ms(b, 5);
 	bench_put(b, 0, false);
@@ -249,7 +258,7 @@
 	bench_free(b);
 }
 
-static void test_draining_announced_to_a_question(void **state)
+static void test_draining_in_probe_response(void **state)
 {
 	struct bench *b = bench_new(2);
 
@@ -264,25 +273,22 @@
 	bench_free(b);
 }
 
-/* An argument names the only test to run. */
+/* With an argument, runs only the test of that name. */
 int main(int argc, char **argv)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_requests_during_backoff),
-		cmocka_unit_test(
-			test_report_of_one_that_turns_away_taken_as_room),
-		cmocka_unit_test(test_backoff_lost_with_the_entry),
-		cmocka_unit_test(test_backoff_ends_with_the_lifetime),
-		cmocka_unit_test(test_backoff_cut_short_by_a_shorter_one),
-		cmocka_unit_test(
-			test_waiting_request_sent_to_the_one_that_turns_away),
+		cmocka_unit_test(test_no_requests_during_backoff),
+		cmocka_unit_test(test_load_report_with_backoff_ignored),
+		cmocka_unit_test(test_backoff_survives_entry),
+		cmocka_unit_test(test_backoff_ends_with_start),
+		cmocka_unit_test(test_shorter_backoff_does_not_shorten),
+		cmocka_unit_test(test_waiting_request_not_sent_during_backoff),
 		cmocka_unit_test(test_invalid_backoff_changes_nothing),
-		cmocka_unit_test(
-			test_all_back_off_refused_with_the_first_resumption),
-		cmocka_unit_test(test_all_back_off_held_for_a_near_resumption),
-		cmocka_unit_test(test_requests_after_draining),
-		cmocka_unit_test(test_drain_news_received_by_a_peer),
-		cmocka_unit_test(test_draining_announced_to_a_question),
+		cmocka_unit_test(test_all_backing_off_retry_after_first),
+		cmocka_unit_test(test_all_backing_off_waits_if_short),
+		cmocka_unit_test(test_no_requests_after_draining),
+		cmocka_unit_test(test_draining_from_peer),
+		cmocka_unit_test(test_draining_in_probe_response),
 	};
 
 	if (argc > 1)
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -9,53 +9,60 @@
 #include "traffic/feedback.h"
 
 /*
- * A process that has ended refuses at once, in a round trip; one that lives
- * answers the question in another one. Slower answers say nothing for sure.
+ * If the process has ended, connections are refused within a round trip; if it
+ * lives, it responds to the probe within another one. Slower results are
+ * inconclusive.
  */
 static const double CONNECT_TIMEOUT_S = 0.1;
-static const double ANSWER_TIMEOUT_S = 0.1;
+static const double RESPONSE_TIMEOUT_S = 0.1;
 
 enum {
-	HEAD_MAX = 16 * 1024, /* bytes of an answer */
+	HEAD_MAX = 16 * 1024, /* bytes of a response */
 	BODY_MAX = 64 * 1024,
 	/*
-	 * Where something between accepts connections for a server that has
-	 * ended, or its machine is silent, it is asked again after 0.1 s, 0.2 s
-	 * and so on, for 3 s in all: until it is back, or off the list.
+	 * If a proxy accepts connections for an ended server, or its machine
+	 * does not respond, the probe is repeated after 0.1 s, 0.2 s and so on,
+	 * for 3 s in total, until the server is back or off the list.
 	 */
-	AGAIN_MS = 100,
+	RETRY_MS = 100,
 	PROBES_MAX = 6,
 };
 
-/* The question to one server, for all requests that broke there meanwhile. */
+/*
+ * A check of one server, shared by all requests whose connections to it break
+ * meanwhile.
+ */
 struct crash_check {
 	struct traffic *traffic;
 	struct backend *backend;
 	struct http_client http;
-	ev_timer again;
-	unsigned questions;
+	ev_timer retry_timer;
+	unsigned probes;
 	GArray *digests; /* uint64_t */
 	int64_t since_ms;
 };
 
-static void report(struct traffic *t, enum crash_notice_kind kind,
-		   uint64_t digest, uint32_t detail)
+static void send_notice(struct traffic *t, enum crash_notice_kind kind,
+			uint64_t digest, uint32_t detail)
 {
-	struct crash_notice *news = g_new(struct crash_notice, 1);
+	struct crash_notice *notice = g_new(struct crash_notice, 1);
 
-	*news = (struct crash_notice){kind, digest, detail};
-	/* With a full queue it is lost like a datagram. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_CRASH, news))
-		g_free(news);
+	*notice = (struct crash_notice){kind, digest, detail};
+	/* If the queue is full it is lost, as a datagram may be. */
+	if (mailbox_send(t->control, FROM_TRAFFIC_CRASH, notice))
+		g_free(notice);
 }
 
-/* Holds an end against a request, unless that was answered lately. */
-static void note_end(struct traffic *t, const struct backend *b,
-		     uint64_t digest)
+/*
+ * Reports that a server ended during a request, unless the request was answered
+ * recently.
+ */
+static void report_crash(struct traffic *t, const struct backend *b,
+			 uint64_t digest)
 {
 	if (!quarantine_forgives(&t->quarantine, digest))
-		report(t, CRASH_NOTICE_CRASHED, digest,
-		       backend_start_hash(&b->entry));
+		send_notice(t, CRASH_NOTICE_CRASHED, digest,
+			    backend_start_hash(&b->entry));
 }
 
 static void log_end(const struct backend *b, unsigned requests,
@@ -67,49 +74,51 @@
 		 b->entry.id, b->service->name, outcome, why, requests, ms);
 }
 
-/* Ends the check. */
+/* Ends the check with its result and frees it. */
 static void finish(struct crash_check *c, bool ended, const char *outcome,
 		   const char *why)
 {
 	struct traffic *t = c->traffic;
 	struct backend *b = c->backend;
 
-	ev_timer_stop(t->loop, &c->again);
+	ev_timer_stop(t->loop, &c->retry_timer);
 	http_client_close(&c->http);
 	b->ended = b->ended || ended;
 	log_end(b, c->digests->len, outcome, why, clock_ms() - c->since_ms);
 	t->counters.ends_seen += ended;
 	for (guint i = 0; ended && i < c->digests->len; i++)
-		note_end(t, b, g_array_index(c->digests, uint64_t, i));
+		report_crash(t, b, g_array_index(c->digests, uint64_t, i));
 	b->check = NULL;
 	g_array_unref(c->digests);
 	backend_unref(b);
 	g_free(c);
 }
 
-/* Questions are requests to the server, too. */
+/* Probes are requests too, so a server that backs off must not get any. */
 static bool is_backing_off(const struct backend *b)
 {
 	return backend_is_backing_off(b, clock_ms());
 }
 
 /*
- * Nothing is known yet. A server that left the list meanwhile, with a broken
- * connection and no answer since, has ended.
+ * Handles an inconclusive probe: retries, or gives up. A server that has
+ * meanwhile left the list, after a broken connection and no response since, has
+ * ended.
  */
-static void unsure(struct crash_check *c, const char *why)
+static void retry_or_give_up(struct crash_check *c, const char *why)
 {
 	http_client_close(&c->http);
 	if (c->backend->gone) {
 		finish(c, true, "ended", "off the list");
 		return;
 	}
-	if (c->questions >= PROBES_MAX || is_backing_off(c->backend)) {
+	if (c->probes >= PROBES_MAX || is_backing_off(c->backend)) {
 		finish(c, false, "unknown", why);
 		return;
 	}
-	ev_timer_set(&c->again, (AGAIN_MS << (c->questions - 1)) / 1000.0, 0);
-	ev_timer_start(c->traffic->loop, &c->again);
+	ev_timer_set(&c->retry_timer, (RETRY_MS << (c->probes - 1)) / 1000.0,
+		     0);
+	ev_timer_start(c->traffic->loop, &c->retry_timer);
 }
 
 static enum http_verdict judge(void *priv, const struct http_message *m)
@@ -134,7 +143,7 @@
 	else if (named)
 		finish(c, true, "ended", "another start answers");
 	else
-		unsure(c, "an answer without a name");
+		retry_or_give_up(c, "an answer without a name");
 }
 
 static void on_failed(void *priv, int err, bool sent)
@@ -142,7 +151,7 @@
 	if (err == -ECONNREFUSED)
 		finish(priv, true, "ended", g_strerror(-err));
 	else
-		unsure(priv, g_strerror(-err));
+		retry_or_give_up(priv, g_strerror(-err));
 }
 
 static bool may_send(void *priv)
@@ -157,8 +166,8 @@
 					   .failed = on_failed,
 					   .may_send = may_send};
 
-/* Asks on a new connection. Returns 0 or a negative errno. */
-static int ask(struct crash_check *c)
+/* Sends a probe on a new connection. Returns 0 or a negative errno. */
+static int send_probe(struct crash_check *c)
 {
 	struct http_limits limits = {.head_max = HEAD_MAX,
 				     .body_max = BODY_MAX};
@@ -167,53 +176,56 @@
 		t->config ? config_service(t->config,
 					   lstr0(c->backend->service->name))
 			  : NULL;
-	struct buf question = {0};
+	struct buf request = {0};
 	int rc = http_client_open(&c->http, t->loop, &c->backend->entry.addr,
 				  CONNECT_TIMEOUT_S, limits, &ops, c);
 
-	c->questions++;
+	c->probes++;
 	if (rc)
 		return rc;
-	exchange_write_probe(&question, sc ? sc->health_path : LSTR("/"),
+	exchange_write_probe(&request, sc ? sc->health_path : LSTR("/"),
 			     c->backend, t->via);
-	http_client_send(&c->http, buf_lstr(&question), ANSWER_TIMEOUT_S,
+	http_client_send(&c->http, buf_lstr(&request), RESPONSE_TIMEOUT_S,
 			 false);
-	buf_free(&question);
+	buf_free(&request);
 	t->counters.end_checks++;
 	return 0;
 }
 
-static bool may_ask(struct traffic *t)
+static bool take_probe_budget(struct traffic *t)
 {
 	return ask_budget_take(&t->asks, &t->ask_rule, traffic_servers(t), 1, 1,
 			       clock_ms()) == 1;
 }
 
-static void on_again(struct ev_loop *loop, ev_timer *timer, int revents)
+static void on_retry(struct ev_loop *loop, ev_timer *timer, int revents)
 {
 	struct crash_check *c = timer->data;
 	bool skip = c->backend->gone || is_backing_off(c->backend) ||
-		    !may_ask(c->traffic);
-	int rc = skip ? -EBUSY : ask(c);
+		    !take_probe_budget(c->traffic);
+	int rc = skip ? -EBUSY : send_probe(c);
 
 	if (rc)
-		unsure(c, g_strerror(-rc));
+		retry_or_give_up(c, g_strerror(-rc));
 }
 
-/* Begins a check; NULL: nothing may be asked, or no socket is to be had. */
-static struct crash_check *begin(struct traffic *t, struct backend *b)
+/*
+ * Starts a check. Returns NULL if no probe is allowed now or no socket is
+ * available.
+ */
+static struct crash_check *start_check(struct traffic *t, struct backend *b)
 {
 	struct crash_check *c;
 
-	if (is_backing_off(b) || !may_ask(t))
+	if (is_backing_off(b) || !take_probe_budget(t))
 		return NULL;
 	c = g_new0(struct crash_check, 1);
 	c->traffic = t;
 	c->backend = b;
 	c->since_ms = clock_ms();
-	ev_init(&c->again, on_again);
-	c->again.data = c;
-	if (ask(c)) {
+	ev_init(&c->retry_timer, on_retry);
+	c->retry_timer.data = c;
+	if (send_probe(c)) {
 		g_free(c);
 		return NULL;
 	}
@@ -223,8 +235,8 @@
 }
 
 /*
- * crash_check_begin() is called when a connection to b broke while it had a
- * request. A server that drains or is off the list ends as planned.
+ * Called when a connection to b broke during a request. The end of a server
+ * that drains or is off the list is planned, so it is not checked.
  */
 void crash_check_begin(struct traffic *t, struct backend *b, uint64_t digest)
 {
@@ -233,13 +245,13 @@
 	if (!mechanisms.quarantine || backend_is_draining(b))
 		return;
 	if (b->ended) {
-		note_end(t, b, digest);
+		report_crash(t, b, digest);
 		return;
 	}
 	if (b->gone)
 		return;
 	if (!c)
-		c = b->check = begin(t, b);
+		c = b->check = start_check(t, b);
 	if (!c) {
 		log_end(b, 1, "unknown", "it can't be asked", 0);
 		return;
@@ -248,12 +260,12 @@
 }
 
 /*
- * crash_check_answered() takes in that a server has run a request and lives: if
- * something is held against it the others hear of it.
+ * Called when a server has run a request and lives. If the request is under
+ * suspicion, the other instances are informed.
  */
 void crash_check_answered(struct traffic *t, uint64_t digest)
 {
 	quarantine_note_answer(&t->quarantine, digest);
 	if (quarantine_kind(&t->quarantine, digest) != VERDICT_CLEAR)
-		report(t, CRASH_NOTICE_ANSWERED, digest, 0);
+		send_notice(t, CRASH_NOTICE_ANSWERED, digest, 0);
 }
--- a/traffic/crash_check.h
+++ b/traffic/crash_check.h
@@ -1,7 +1,8 @@
 /*
- * Whether a backend server has ended, when a connection broke under a request.
- * A connection may break for many reasons; a process that has ended refuses
- * new ones, or another start answers at its address.
+ * Finds out whether a backend server has ended after a connection broke during
+ * a request. Connections break for many reasons; if the process has ended,
+ * either new connections are refused or another start of the server responds at
+ * its address.
  */
 #ifndef MP_TRAFFIC_CRASH_CHECK_H
 #define MP_TRAFFIC_CRASH_CHECK_H
--- a/traffic/drain_gossip.c
+++ b/traffic/drain_gossip.c
@@ -3,13 +3,13 @@
 #include "traffic/drain_gossip.h"
 
 enum {
-	TELLS = 3, /* datagrams may be lost */
-	AGAIN_MS = 1000,
+	ANNOUNCEMENTS = 3, /* repeated, since datagrams may be lost */
+	RESEND_MS = 1000,
 	/*
-	 * A new peer needs to be told by one instance only: each waits for a random
-	 * time up to this, and drops its turn if another was first.
+	 * A new peer needs the news from one instance only: each waits for a
+	 * random time up to this, and skips its turn if another one was first.
 	 */
-	TELL_NEW_MS = 1000,
+	NEW_PEER_JITTER_MS = 1000,
 	TICK_MS = 100,
 };
 
@@ -23,7 +23,8 @@
 		 b && b->entry.draining, b ? b->in_flight : 0);
 }
 
-static void arm(struct traffic *t)
+/* Starts the timer unless it is running. */
+static void start_timer(struct traffic *t)
 {
 	if (ev_is_active(&t->drain_timer))
 		return;
@@ -31,8 +32,8 @@
 	ev_timer_start(t->loop, &t->drain_timer);
 }
 
-/* Sends what is due; returns whether more will be. */
-static bool tell_due(struct traffic *t, int64_t now_ms)
+/* Sends the announcements that are due. Returns whether more will follow. */
+static bool send_due(struct traffic *t, int64_t now_ms)
 {
 	struct drain_news news = {.n = 0};
 	struct drain_news *copy;
@@ -55,13 +56,13 @@
 		g_strlcpy(item->id, m->id, sizeof(item->id));
 		item->born_ms = m->born_ms;
 		m->drain_tells--;
-		m->drain_tell_ms = now_ms + AGAIN_MS;
+		m->drain_tell_ms = now_ms + RESEND_MS;
 		more = more || m->drain_tells;
 	}
 	if (!news.n)
 		return more;
 	copy = g_memdup2(&news, sizeof(news));
-	/* With a full queue it is lost like a datagram. */
+	/* If the queue is full it is lost, as a datagram may be. */
 	if (mailbox_send(t->control, FROM_TRAFFIC_DRAIN, copy))
 		g_free(copy);
 	return more;
@@ -71,18 +72,18 @@
 {
 	struct traffic *t = timer->data;
 
-	if (tell_due(t, clock_ms()))
-		arm(t);
+	if (send_due(t, clock_ms()))
+		start_timer(t);
 }
 
-/* drain_gossip_init() prepares the timer. */
+/* Initializes the timer. */
 void drain_gossip_init(struct traffic *t)
 {
 	ev_init(&t->drain_timer, on_tick);
 	t->drain_timer.data = t;
 }
 
-/* drain_gossip_announced() is called when b announced it in a response. */
+/* Handles an announcement in a response of b. */
 void drain_gossip_announced(struct traffic *t, struct backend *b)
 {
 	struct server_state *m = b->state;
@@ -90,14 +91,14 @@
 	if (m->draining)
 		return;
 	m->draining = true;
-	m->drain_tells = TELLS;
+	m->drain_tells = ANNOUNCEMENTS;
 	m->drain_tell_ms = 0;
 	log_draining(m, "answer", b);
-	if (tell_due(t, clock_ms()))
-		arm(t);
+	if (send_due(t, clock_ms()))
+		start_timer(t);
 }
 
-/* drain_gossip_received() applies what a peer has passed on. */
+/* Handles announcements that a peer has passed on. */
 void drain_gossip_received(struct traffic *t, const struct drain_news *news)
 {
 	for (unsigned i = 0; i < news->n; i++) {
@@ -116,7 +117,7 @@
 	}
 }
 
-/* drain_gossip_peers_changed() tells new peers of the servers that are still listed. */
+/* Announces the listed servers that drain to new peers. */
 void drain_gossip_peers_changed(struct traffic *t)
 {
 	int64_t now_ms = clock_ms();
@@ -131,7 +132,8 @@
 			continue;
 		m->drain_tells = 1;
 		m->drain_tell_ms =
-			now_ms + g_rand_int_range(t->rand, 0, TELL_NEW_MS);
-		arm(t);
+			now_ms +
+			g_rand_int_range(t->rand, 0, NEW_PEER_JITTER_MS);
+		start_timer(t);
 	}
 }
--- a/traffic/drain_gossip.h
+++ b/traffic/drain_gossip.h
@@ -1,5 +1,5 @@
 /*
- * Backend servers that have announced that they drain: taken in from their responses
+ * Spreads the knowledge that a backend server drains: taken from its responses
  * and from peers, and passed on to peers.
  */
 #ifndef MP_TRAFFIC_DRAIN_GOSSIP_H
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -4,9 +4,12 @@
 #include "traffic/feedback.h"
 #include "traffic/limits.h"
 
-enum { TEXT_MAX = 64 }; /* bytes of a value that are logged */
+enum { TEXT_MAX = 64 }; /* logged bytes of a value */
 
-/* An invalid value is ignored, and logged once until a valid one follows. */
+/*
+ * Counts an invalid value, which is ignored. Logged once until a valid one
+ * follows.
+ */
 static void log_invalid(struct traffic *t, const struct backend *b,
 			const char *field, struct lstr text)
 {
@@ -30,7 +33,10 @@
 	if (!server_state_back_off(s, backoff_s, g_rand_double(t->rand),
 				   now_ms))
 		return;
-	/* A load report from before the backoff must not look like room after it. */
+	/*
+	 * A load report from before the backoff must not look like free
+	 * capacity after it.
+	 */
 	b->load = (struct load_report){.slots = b->load.slots};
 	mp_event(EV_BACKOFF, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s backoff_s=%g "
@@ -41,7 +47,10 @@
 		 b->in_flight);
 }
 
-/* Another start may answer at the same address. */
+/*
+ * Returns whether the response is from b; another start of the server may
+ * respond at the same address.
+ */
 static bool is_from(const struct backend *b, const struct answer_info *info)
 {
 	if (info->misdirected)
@@ -49,7 +58,10 @@
 	return !info->backend.ptr || lstr_eq(info->backend, lstr0(b->entry.id));
 }
 
-/* It isn't known when an unsolicited response was asked for: it can't end a limit. */
+/*
+ * Applies the limit that the response sets or does not set. It is unknown when
+ * an unsolicited response was requested, so it cannot end a limit.
+ */
 static void apply_limit(struct traffic *t, struct backend *b,
 			const struct feedback *f)
 {
@@ -62,7 +74,7 @@
 		limits_response(t, b, &f->info, 0, LIMIT_BY_ANSWER);
 }
 
-/* feedback_apply() takes in a response from b's address. */
+/* Applies a response received from b's address. */
 void feedback_apply(struct traffic *t, struct backend *b,
 		    const struct feedback *f)
 {
--- a/traffic/feedback.h
+++ b/traffic/feedback.h
@@ -1,6 +1,6 @@
 /*
- * Applies what responses say about their backend server: limit, backoff, draining.
- * Responses that nobody waits for any more count as well.
+ * Applies what responses say about their backend server: limit, backoff and
+ * draining. Responses that no request waits for any more count as well.
  */
 #ifndef MP_TRAFFIC_FEEDBACK_H
 #define MP_TRAFFIC_FEEDBACK_H
@@ -11,9 +11,9 @@
 /* A response from a server's address. */
 struct feedback {
 	struct answer_info info;
-	bool solicited;	 /* it answers what was last sent on its connection */
-	bool probe;	 /* which was a load question */
-	int64_t sent_ms; /* and left then */
+	bool solicited;	 /* response to the last request on the connection */
+	bool probe;	 /* that request was a load probe */
+	int64_t sent_ms; /* when that request was sent */
 };
 
 void feedback_apply(struct traffic *t, struct backend *b,
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -5,37 +5,44 @@
 #include "traffic/limits.h"
 
 /*
- * An instance whose own requests missed room so lately gives nothing up: they go
- * first, and where all are short what goes round helps nobody.
+ * An instance that ran short for its own requests this recently gives up
+ * nothing: they have priority, and while all are short, passing sends around
+ * helps nobody.
  */
 enum { SHORTAGE_MS = 1000 };
 
-/* Whose send it is: this lifetime's own, a peer's, or the one that looks. */
-static enum limit_payer pay(struct backend_limit *l, int64_t now_ms)
+/*
+ * Determines what covers a send: this instance's share, a peer's grant, or the
+ * permission to probe whether the limit still stands.
+ */
+static enum limit_payer choose_payer(struct backend_limit *l, int64_t now_ms)
 {
 	if (limit_share_allows(&l->share, now_ms)) {
 		limit_share_take(&l->share, now_ms);
 		return LIMIT_PAYS_OWN;
 	}
-	/* A grant that ran out just now counted when the server was chosen. */
+	/*
+	 * A grant that has just expired was still valid when the server was
+	 * chosen.
+	 */
 	if (l->granted_ms) {
 		l->granted_ms = 0;
 		return LIMIT_PAYS_PEER;
 	}
-	mp_invariant(l->looks, "a send that no part of the limit pays for");
+	mp_invariant(l->looks, "a send that neither a share, a grant nor a probe covers");
 	l->looks = false;
 	return LIMIT_PAYS_LOOK;
 }
 
-/* Why a server gets the request, as the rules on limits see it. */
+/* Why the server gets the request, as logged. */
 static const char *cause_name(const struct send *s)
 {
 	return s->extra ? extra_cause_name(s->cause) : "first";
 }
 
 /*
- * These lines are never held back: added up over all instances they are what the
- * server gets.
+ * These lines are never suppressed: summed over all instances they are all that
+ * the server gets.
  */
 static void log_send(const struct send *s)
 {
@@ -57,10 +64,7 @@
 		 l->share.part.rate_s, l->share.tokens, l->share.out);
 }
 
-/*
- * limit_sends_charge() takes a send from its server's limit, before it leaves.
- * Whatever its cause, it costs the server the same.
- */
+/* Charges a send that is about to leave against its server's limit. */
 void limit_sends_charge(struct send *s)
 {
 	struct backend *b = s->backend;
@@ -68,11 +72,11 @@
 	s->payer = LIMIT_PAYS_NONE;
 	if (!backend_is_limited(b))
 		return;
-	s->payer = pay(b->state->limit, s->sent_ms);
+	s->payer = choose_payer(b->state->limit, s->sent_ms);
 	log_send(s);
 }
 
-/* limit_sends_finish() says that a send can't reach its server any more. */
+/* Called when a send can no longer reach its server. */
 void limit_sends_finish(struct send *s, int64_t now_ms)
 {
 	if (s->payer == LIMIT_PAYS_OWN)
@@ -80,18 +84,18 @@
 	s->payer = LIMIT_PAYS_NONE;
 }
 
-static void call_peers(struct traffic *t, const struct limit_call *call)
+static void send_to_peers(struct traffic *t, const struct limit_call *call)
 {
 	struct limit_call *copy = g_memdup2(call, sizeof(*call));
 
-	/* With a full queue it is lost like a datagram. */
+	/* If the queue is full it is lost, as a datagram may be. */
 	if (mailbox_send(t->control, FROM_TRAFFIC_LIMIT_CALL, copy))
 		g_free(copy);
 }
 
 /*
- * limit_sends_request_grant() asks peers for a send to a server of s, if it is time, and
- * tells until when the last question may bring one.
+ * Requests a send to a server of s from peers if a request is due. Returns
+ * until when the last request may still yield a grant.
  */
 int64_t limit_sends_request_grant(struct traffic *t, struct service *s,
 				  int64_t now_ms)
@@ -101,7 +105,7 @@
 
 	if (limit_want_is_due(w, now_ms)) {
 		call.serial = limit_want_ask(w, now_ms);
-		call_peers(t, &call);
+		send_to_peers(t, &call);
 	}
 	return limit_want_until_ms(w);
 }
@@ -121,8 +125,11 @@
 	return NULL;
 }
 
-/* The server of which this instance holds most that it may send at once. */
-static struct backend *most_to_give(const struct service *s, int64_t now_ms)
+/*
+ * Returns the server for which this instance holds the most sends that it may
+ * use at once, or NULL.
+ */
+static struct backend *find_surplus(const struct service *s, int64_t now_ms)
 {
 	struct backend *best = NULL;
 
@@ -140,22 +147,22 @@
 }
 
 /*
- * Gives one send up for a peer. It is taken, and ended, before it is told: the
- * peer's request arrives within some 0.4 s, for which the rule has room, or never.
+ * Gives up one send for a peer. It is charged and ended here before the peer is
+ * told, so that the two never both use it. The peer's request arrives within
+ * about 0.4 s, for which the limit rule leaves room, or never.
  */
-static void give(struct traffic *t, const struct limit_call *question)
+static void give_up_send(struct traffic *t, const struct limit_call *request)
 {
 	int64_t now_ms = clock_ms();
-	struct service *s = find_service(t, question->what);
-	struct limit_call grant = {.grant = true,
-				   .to = question->from,
-				   .serial = question->serial};
+	struct service *s = find_service(t, request->what);
+	struct limit_call grant = {
+		.grant = true, .to = request->from, .serial = request->serial};
 	struct backend *b;
 
 	if (!s || s->waiting.length ||
 	    (s->pressed_ms && now_ms - s->pressed_ms < SHORTAGE_MS))
 		return;
-	b = most_to_give(s, now_ms);
+	b = find_surplus(s, now_ms);
 	if (!b)
 		return;
 	limit_share_take(&b->state->limit->share, now_ms);
@@ -163,13 +170,13 @@
 	t->counters.limits_given++;
 	mp_event(EV_LIMIT_GIVEN, G_LOG_LEVEL_INFO,
 		 "backend=%s service=%s peer_id=%08x left=%.2f", b->entry.id,
-		 s->name, question->from, b->state->limit->share.tokens);
+		 s->name, request->from, b->state->limit->share.tokens);
 	grant.what = b->start;
-	call_peers(t, &grant);
+	send_to_peers(t, &grant);
 }
 
-/* A peer has given a send up for this instance. */
-static void take_grant(struct traffic *t, const struct limit_call *grant)
+/* Applies a grant from a peer. */
+static void apply_grant(struct traffic *t, const struct limit_call *grant)
 {
 	struct backend *b = limits_find(t, grant->what);
 	int64_t now_ms = clock_ms();
@@ -183,11 +190,11 @@
 	request_use_room(t, b);
 }
 
-/* limit_sends_peer_message() takes in what a peer asks for, or grants. */
+/* Handles a peer's request for a send, or its grant. */
 void limit_sends_peer_message(struct traffic *t, const struct limit_call *call)
 {
 	if (call->grant)
-		take_grant(t, call);
+		apply_grant(t, call);
 	else
-		give(t, call);
+		give_up_send(t, call);
 }
--- a/traffic/limit_sends.h
+++ b/traffic/limit_sends.h
@@ -1,6 +1,6 @@
 /*
- * What requests take of the limits that backend servers name, and what instances
- * give up for each other.
+ * Charges sends against the limits that backend servers set, and lets instances
+ * give up sends for each other.
  */
 #ifndef MP_TRAFFIC_LIMIT_SENDS_H
 #define MP_TRAFFIC_LIMIT_SENDS_H
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -5,33 +5,38 @@
 #include "traffic/limits.h"
 
 enum {
-	/* Granularity of all that is due while servers are in need. */
+	/* Timer interval while servers are limited. */
 	TICK_MS = 500,
 	/*
-	 * Nobody has told for so long that a limit stands: those who hold it tell
-	 * the others, some a little sooner than the rest, who then need not.
+	 * If nobody has repeated for this long that a limit stands, the
+	 * instances that hold a share of it announce it again, with a random
+	 * delay so that most need not.
 	 */
 	RESEND_MS = 2000,
 	RESEND_JITTER_MS = 1000,
 	/*
-	 * An end is told again so often, after so long each: a peer that had just
-	 * heard that the limit stands needs a word that is surely newer.
+	 * The end of a limit is repeated this often, at this interval: a peer
+	 * that has just heard that the limit stands needs an update that is
+	 * certainly newer.
 	 */
 	END_SENDS = 3,
 	END_RESEND_MS = 1000,
-	/* An instance that is new is told at once, by some of the others. */
-	TELL_NEW_MS = 200,
+	/* A new instance is informed at once, by some of the others. */
+	NEW_PEER_JITTER_MS = 200,
 	/*
-	 * A datagram may have been on its way, or unread, for so long: what it says
-	 * is taken to be older by that.
+	 * A datagram may have been in transit, or unread, for this long: its
+	 * content is assumed to be older by that.
+	 */
+	DATAGRAM_DELAY_MAX_MS = 300,
+	/*
+	 * Per instance, so that the result of the first probe is known before
+	 * the second is sent.
 	 */
-	ON_ITS_WAY_MS = 300,
-	/* For each instance: so that the first is heard of before the second. */
 	PROBE_SPREAD_MS = 2000,
-	PROBE_RETRY_MS = 30 * 1000, /* the look brought no answer */
+	PROBE_RETRY_MS = 30 * 1000, /* after a probe without a response */
 };
 
-/* A limit that differs by this part of itself is told at once. */
+/* Relative change of a limit that is reported at once. */
 static const double MIN_REPORTED_CHANGE = 0.1;
 
 static void log_change(const struct backend *b, enum limit_change change,
@@ -50,8 +55,8 @@
 		 clock_ms() - w->heard_ms, p->rate_s, p->depth);
 }
 
-/* A number that is none says neither that there is a limit nor that it ended. */
-static void log_bad(struct traffic *t, struct backend *b, struct lstr text)
+/* Logs an invalid limit. It neither sets nor ends a limit. */
+static void log_invalid(struct traffic *t, struct backend *b, struct lstr text)
 {
 	t->counters.limits_bad++;
 	if (b->state->limit_bad)
@@ -64,8 +69,8 @@
 		 text.ptr);
 }
 
-/* Works out anew what this instance holds of b's limit. */
-static void set_part(struct traffic *t, struct backend *b)
+/* Recomputes this instance's share of b's limit. */
+static void update_share(struct traffic *t, struct backend *b)
 {
 	const GArray *known = t->peers.sharers;
 	struct limit_sharers sharers = {.n = 0};
@@ -79,7 +84,8 @@
 	limit_share_set(&b->state->limit->share, &part, clock_ms());
 }
 
-static void arm(struct traffic *t, int ms)
+/* Makes the timer fire in at most `ms`. */
+static void start_timer(struct traffic *t, int ms)
 {
 	if (ev_is_active(&t->limits_timer) &&
 	    ev_timer_remaining(t->loop, &t->limits_timer) * 1000 <= ms)
@@ -90,10 +96,11 @@
 }
 
 /*
- * Whether it differs enough to be told: a server may work its limit out anew for
- * each answer.
+ * Returns whether a change is large enough to be reported: a server may
+ * recompute its limit for each response.
  */
-static bool differs(const struct backend_limit *l, enum limit_change change)
+static bool is_reportable(const struct backend_limit *l,
+			  enum limit_change change)
 {
 	double step = fabs(l->said.per_s - l->told_per_s);
 
@@ -103,11 +110,11 @@
 }
 
 /*
- * Takes in what a server said, by itself or through a peer. Returns whether it is
- * worth telling.
+ * Applies what a server has said, directly or through a peer. Returns whether
+ * it must be reported.
  */
-static bool hear(struct traffic *t, struct backend *b,
-		 const struct limit_word *w)
+static bool apply_update(struct traffic *t, struct backend *b,
+			 const struct limit_word *w)
 {
 	int64_t now_ms = clock_ms();
 	double before = b->state->limit ? b->state->limit->said.per_s : 0;
@@ -123,9 +130,9 @@
 	change = server_limit_hear(&b->state->limit->said, w, now_ms);
 	if (change == LIMIT_SAME)
 		return false;
-	set_part(t, b);
-	arm(t, TICK_MS);
-	if (!differs(b->state->limit, change))
+	update_share(t, b);
+	start_timer(t, TICK_MS);
+	if (!is_reportable(b->state->limit, change))
 		return false;
 	b->state->limit->told_per_s = b->state->limit->said.per_s;
 	log_change(b, change, w, before);
@@ -136,7 +143,7 @@
 {
 	struct limit_news *copy = g_memdup2(news, sizeof(*news));
 
-	/* With a full queue it is lost like a datagram. */
+	/* If the queue is full it is lost, as a datagram may be. */
 	if (mailbox_send(t->control, FROM_TRAFFIC_LIMITS, copy))
 		g_free(copy);
 }
@@ -148,15 +155,19 @@
 	return age < 0 ? 0 : age > UINT32_MAX ? UINT32_MAX : (uint32_t)age;
 }
 
-/* It was told: if nobody tells it again, this instance does after a while. */
-static void was_told(struct traffic *t, struct backend *b, int64_t now_ms)
+/*
+ * Called when b's limit was announced: if nobody repeats it, this instance does
+ * after a while.
+ */
+static void schedule_resend(struct traffic *t, struct backend *b,
+			    int64_t now_ms)
 {
 	int spread = g_rand_int_range(t->rand, 0, RESEND_JITTER_MS);
 
 	b->state->limit->tell_ms = now_ms + RESEND_MS + spread;
 }
 
-/* Adds what is known of b's limit. */
+/* Appends the state of b's limit. */
 static void add_item(struct limit_news *news, const struct backend *b,
 		     int64_t now_ms)
 {
@@ -172,8 +183,8 @@
 }
 
 /*
- * limits_response() takes in what an answer of b says of its limit; it was asked
- * for at asked_ms. What is new is told to the peers at once.
+ * Applies what a response of b, to a request sent at asked_ms, says about its
+ * limit. Changes are sent to the peers at once.
  */
 void limits_response(struct traffic *t, struct backend *b,
 		     const struct answer_info *info, int64_t asked_ms,
@@ -189,15 +200,15 @@
 	};
 
 	if (info->limit == LIMIT_BAD) {
-		log_bad(t, b, info->limit_text);
+		log_invalid(t, b, info->limit_text);
 		return;
 	}
 	b->state->limit_bad = false;
 	b->state->was_free =
 		b->state->was_free || (!w.named && source == LIMIT_BY_ANSWER);
-	if (!hear(t, b, &w))
+	if (!apply_update(t, b, &w))
 		return;
-	was_told(t, b, w.heard_ms);
+	schedule_resend(t, b, w.heard_ms);
 	if (!b->state->limit->said.named) {
 		b->state->limit->end_tells = END_SENDS;
 		b->state->limit->tell_ms = w.heard_ms + END_RESEND_MS;
@@ -206,7 +217,7 @@
 	send_news(t, &news);
 }
 
-/* limits_find() finds a backend server by its start, or NULL. */
+/* Returns the backend server with this start hash, or NULL. */
 struct backend *limits_find(struct traffic *t, uint32_t start)
 {
 	GHashTableIter it;
@@ -222,7 +233,7 @@
 	return NULL;
 }
 
-/* limits_peer_update() takes in what a peer says that servers have said. */
+/* Applies what a peer has passed on about servers' limits. */
 void limits_peer_update(struct traffic *t, const struct limit_news *news)
 {
 	int64_t now_ms = clock_ms();
@@ -233,24 +244,25 @@
 		struct limit_word w = {
 			.named = it->named,
 			.per_s = it->per_s,
-			.asked_ms = now_ms - it->asked_ago_ms - ON_ITS_WAY_MS,
+			.asked_ms = now_ms - it->asked_ago_ms -
+				    DATAGRAM_DELAY_MAX_MS,
 			.heard_ms = now_ms - it->heard_ago_ms,
 			.source = LIMIT_BY_PEER,
 		};
 
 		if (!b)
 			continue;
-		(void)hear(t, b, &w);
+		(void)apply_update(t, b, &w);
 		if (b->state->limit && backend_is_limited(b))
-			was_told(t, b, now_ms);
+			schedule_resend(t, b, now_ms);
 	}
 }
 
 /*
- * While most instances are silent to this one they can't tell it that a limit
- * stands, so that their silence says nothing.
+ * Returns whether this instance hears most others. If it does not, they cannot
+ * tell it that a limit stands, so their silence means nothing.
  */
-static bool hears_most(const struct traffic *t)
+static bool hears_majority(const struct traffic *t)
 {
 	const GArray *known = t->peers.sharers;
 	guint heard = 0;
@@ -261,15 +273,16 @@
 }
 
 /*
- * Where nobody has heard from b for long one of the instances that hold nothing of
- * its limit sends it a request, to hear whether it still stands; which one is drawn,
- * and the others then hear of it.
+ * Plans a probe: if nobody has heard from b for long, one of the instances that
+ * hold no share of its limit sends it a request to learn whether the limit
+ * still stands. A random delay decides which one, and the others learn the
+ * result from it.
  */
-static void plan_look(struct traffic *t, struct backend *b, int64_t now_ms)
+static void plan_probe(struct traffic *t, struct backend *b, int64_t now_ms)
 {
 	struct backend_limit *l = b->state->limit;
 
-	if (l->share.part.held || !hears_most(t) ||
+	if (l->share.part.held || !hears_majority(t) ||
 	    !server_limit_is_stale(&l->said, now_ms)) {
 		l->looks = false;
 		l->look_ms = 0;
@@ -287,7 +300,7 @@
 	l->looks = true;
 }
 
-/* Whether this instance is to tell the others once more how b's limit stands. */
+/* Returns whether this instance must announce the state of b's limit again. */
 static bool is_due(const struct backend *b, int64_t now_ms)
 {
 	bool concerned = backend_is_limited(b)
@@ -297,11 +310,11 @@
 	return concerned && now_ms >= b->state->limit->tell_ms;
 }
 
-/* It is told now; when it is to be told again. */
-static void plan_tell(struct traffic *t, struct backend *b, int64_t now_ms)
+/* Schedules the next announcement of b's limit, which is being sent now. */
+static void schedule_next(struct traffic *t, struct backend *b, int64_t now_ms)
 {
 	if (backend_is_limited(b)) {
-		was_told(t, b, now_ms);
+		schedule_resend(t, b, now_ms);
 		return;
 	}
 	b->state->limit->end_tells--;
@@ -325,21 +338,21 @@
 		    (!backend_is_limited(b) && !b->state->limit->end_tells))
 			continue;
 		any = true;
-		plan_look(t, b, now_ms);
+		plan_probe(t, b, now_ms);
 		if (news.n == LIMIT_NEWS_MAX || !is_due(b, now_ms))
 			continue;
-		plan_tell(t, b, now_ms);
+		schedule_next(t, b, now_ms);
 		add_item(&news, b, now_ms);
 	}
 	if (news.n)
 		send_news(t, &news);
 	if (any)
-		arm(t, TICK_MS);
+		start_timer(t, TICK_MS);
 }
 
 /*
- * limits_peers_changed() works out anew what this instance holds. Those who are
- * new don't know of the limits: they are due to be told.
+ * Recomputes this instance's shares. New peers do not know the limits yet, so
+ * those are due to be announced.
  */
 void limits_peers_changed(struct traffic *t)
 {
@@ -352,15 +365,16 @@
 
 		if (!backend_is_limited(b))
 			continue;
-		set_part(t, b);
+		update_share(t, b);
 		b->state->limit->tell_ms = 0;
-		arm(t, g_rand_int_range(t->rand, 0, TELL_NEW_MS));
+		start_timer(t,
+			    g_rand_int_range(t->rand, 0, NEW_PEER_JITTER_MS));
 	}
 }
 
 /*
- * limits_listed() is called when a server's entry has come. One that was off the list
- * has kept its limit, but who shares it may have changed meanwhile.
+ * Called when a server's entry was added. A server that was off the list has
+ * kept its limit, but the set of instances that share it may have changed.
  */
 void limits_listed(struct traffic *t, const char *id)
 {
@@ -368,11 +382,11 @@
 
 	if (!b || !backend_is_limited(b))
 		return;
-	set_part(t, b);
-	arm(t, TICK_MS);
+	update_share(t, b);
+	start_timer(t, TICK_MS);
 }
 
-/* limits_init() prepares the timer. */
+/* Initializes the timer. */
 void limits_init(struct traffic *t)
 {
 	ev_init(&t->limits_timer, on_tick);
--- a/traffic/limits.h
+++ b/traffic/limits.h
@@ -1,6 +1,6 @@
 /*
- * The limits that backend servers name, on the traffic thread: taken in from
- * their answers and from peers, passed on, and told in the log.
+ * The limits that backend servers set, on the traffic thread: taken from
+ * responses and from peers, passed on to peers, and logged.
  */
 #ifndef MP_TRAFFIC_LIMITS_H
 #define MP_TRAFFIC_LIMITS_H
