--- a/member/gossip.c
+++ b/member/gossip.c
@@ -42,6 +42,7 @@
 	msgpack_pack_uint64(pk, p.offset);
 }
 
+/* Packs what an instance announces about itself; read by read_info(). */
 static void pack_info(msgpack_packer *pk, const struct peer_info *p)
 {
 	codec_pack_cstr(pk, p->name);
@@ -106,6 +107,7 @@
 	msgpack_pack_uint64(pk, e->sequence);
 }
 
+/* Returns the position of change `i`. */
 static struct store_position pos_at(const struct backend_feed *feed, guint i)
 {
 	return g_array_index(feed->changes, struct backend_change, i).pos;
@@ -211,8 +213,8 @@
 }
 
 /* Packs the ids of the entries that are ready, or of those that are not. */
-static void pack_roll_ids(msgpack_packer *pk, const struct roster *r,
-			  bool ready)
+static void pack_roster_ids(msgpack_packer *pk, const struct roster *r,
+			    bool ready)
 {
 	size_t n = 0;
 
@@ -247,8 +249,8 @@
 	msgpack_pack_array(&pk, ROSTER_FIELDS);
 	msgpack_pack_uint32(&pk, part.lo);
 	msgpack_pack_uint32(&pk, part.hi);
-	pack_roll_ids(&pk, &part, true);
-	pack_roll_ids(&pk, &part, false);
+	pack_roster_ids(&pk, &part, true);
+	pack_roster_ids(&pk, &part, false);
 	roster_clear(&part);
 	return end;
 }
--- a/member/gossip_read.c
+++ b/member/gossip_read.c
@@ -36,6 +36,7 @@
 	return c->at++;
 }
 
+/* Reads an unsigned integer. */
 static uint64_t next_uint(struct cursor *c)
 {
 	const msgpack_object *o = next(c);
@@ -62,6 +63,7 @@
 	return 0;
 }
 
+/* Reads a string that fits into `max` bytes with its terminating null byte. */
 static void next_string(struct cursor *c, char *dst, size_t max)
 {
 	const msgpack_object *o = next(c);
@@ -74,6 +76,7 @@
 	dst[o->via.str.size] = '\0';
 }
 
+/* Reads an IPv4 address and port. */
 static void next_addr(struct cursor *c, struct sockaddr_in *sa)
 {
 	memset(sa, 0, sizeof(*sa));
@@ -168,7 +171,7 @@
 	p->config.digest = (uint32_t)next_uint(c);
 }
 
-static bool read_person(const msgpack_object *o, struct peer_info *p)
+static bool read_forwarded_info(const msgpack_object *o, struct peer_info *p)
 {
 	struct cursor c = cursor_of(o);
 
@@ -176,7 +179,7 @@
 	return !c.bad;
 }
 
-static bool read_roll_ids(const msgpack_object *o, bool ready, GArray *out)
+static bool read_roster_ids(const msgpack_object *o, bool ready, GArray *out)
 {
 	struct cursor c = cursor_of(o);
 
@@ -188,17 +191,21 @@
 	return !c.bad;
 }
 
-static bool read_roll(const msgpack_object *o, struct roster *r)
+static bool read_roster(const msgpack_object *o, struct roster *r)
 {
 	struct cursor c = cursor_of(o);
 
 	roster_init(r);
 	r->lo = (uint32_t)next_uint(&c);
 	r->hi = (uint32_t)next_uint(&c);
-	return read_roll_ids(next(&c), true, r->entries) &&
-	       read_roll_ids(next(&c), false, r->entries) && !c.bad;
+	return read_roster_ids(next(&c), true, r->entries) &&
+	       read_roster_ids(next(&c), false, r->entries) && !c.bad;
 }
 
+/*
+ * Reads at most CRASH_NOTICES_MAX notices. Returns false if one is of an
+ * unknown kind.
+ */
 static bool read_crashes(const msgpack_object *o, GArray *out)
 {
 	struct cursor c = cursor_of(o);
@@ -247,7 +254,7 @@
 	return !c.bad;
 }
 
-static bool read_call(struct cursor *c, struct gossip_message *m)
+static bool read_grant(struct cursor *c, struct gossip_message *m)
 {
 	m->call.grant = m->kind == GOSSIP_GRANT;
 	m->call.from = (uint32_t)next_uint(c);
@@ -297,14 +304,14 @@
 		return read_draining(next(c), &m->drain) && !c->bad;
 	case GOSSIP_GRANT_REQUEST:
 	case GOSSIP_GRANT:
-		return read_call(c, m);
+		return read_grant(c, m);
 	case GOSSIP_ROSTER:
-		return read_roll(next(c), &m->roster);
+		return read_roster(next(c), &m->roster);
 	case GOSSIP_INFO_REQUEST:
 		m->info_id = (uint32_t)next_uint(c);
 		return !c->bad;
 	case GOSSIP_INFO:
-		return read_person(next(c), &m->info);
+		return read_forwarded_info(next(c), &m->info);
 	case GOSSIP_CRASHES:
 		m->crashes =
 			g_array_new(FALSE, FALSE, sizeof(struct crash_notice));
--- a/member/peers.c
+++ b/member/peers.c
@@ -246,6 +246,7 @@
  */
 enum eligibility { ELIGIBLE_READY, ELIGIBLE_ALIVE, ELIGIBLE_KNOWN };
 
+/* A live peer that is leaving never qualifies. */
 static bool is_eligible(const struct peer *p, enum eligibility eligibility,
 			int64_t now_ms)
 {
--- a/member/snapshot.c
+++ b/member/snapshot.c
@@ -60,6 +60,10 @@
 	return o->type == MSGPACK_OBJECT_POSITIVE_INTEGER;
 }
 
+/*
+ * Checks the types of all fields and copies them to s. Returns false if one is
+ * invalid.
+ */
 static bool read_fields(const msgpack_object *o, struct snapshot *s)
 {
 	const msgpack_object *f = o->via.array.ptr;
--- a/tests/test_crash_check.c
+++ b/tests/test_crash_check.c
@@ -28,6 +28,7 @@
 	g_free(m->data);
 }
 
+/* Creates a bench with its notices collected in `notices`. */
 static struct bench *begin(int servers)
 {
 	struct bench *b = bench_new(servers);
@@ -37,6 +38,7 @@
 	return b;
 }
 
+/* Makes a call and waits until a crash check after it is over. */
 static struct caller *call(struct bench *b, const char *method)
 {
 	struct caller *c = bench_call(b, method, 1000);
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -12,6 +12,7 @@
 #include "member/snapshot.h"
 #include "tests/peer_info.h"
 
+/* Adds n changes; every third is a removal. */
 static void fill_changes(GArray *a, int n)
 {
 	for (int i = 0; i < n; i++) {
--- a/tests/test_hubs.c
+++ b/tests/test_hubs.c
@@ -89,6 +89,10 @@
 	       g_rand_int_range(c->rand, 0, 100) >= c->loss_pct;
 }
 
+/*
+ * Sends a heartbeat from a to b, with a roster if `r` is set. A new peer
+ * replies at once.
+ */
 static void deliver(struct cluster *c, int a, int b, const struct roster *r)
 {
 	struct node *x = &c->nodes[a], *y = &c->nodes[b];
@@ -111,6 +115,7 @@
 	g_array_unref(unknown);
 }
 
+/* Sends the roster of instance i to all live peers. */
 static void send_roster(struct cluster *c, int i)
 {
 	struct node *node = &c->nodes[i];
@@ -128,6 +133,7 @@
 	roster_clear(&r);
 }
 
+/* Runs instance i for one tick. */
 static void tick(struct cluster *c, int i)
 {
 	struct node *node = &c->nodes[i];
@@ -179,6 +185,7 @@
 	}
 }
 
+/* Returns the number of datagrams that all instances send within `ms`. */
 static unsigned count_sent(struct cluster *c, int ms)
 {
 	unsigned n = 0;
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -209,6 +209,7 @@
 	bench_free(b);
 }
 
+/* Adds or removes the list entry of server i. */
 static void list_server(struct bench *b, int i, bool removed)
 {
 	struct backend_change *c = g_new0(struct backend_change, 1);
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -142,6 +142,7 @@
 	assert_int_equal(peers_count(&t, 90000), 1);
 }
 
+/* Returns the number of sharers, with this instance first. */
 static unsigned count_sharers(const struct peer_table *t, int64_t now)
 {
 	GArray *all = peers_sharers(t, 6000, now);
--- a/tests/test_server_backoff.c
+++ b/tests/test_server_backoff.c
@@ -66,6 +66,7 @@
 	assert_true(b->servers[i].received > 0);
 }
 
+/* Lets the entry of server i lapse and return. */
 static void list_again(struct bench *b, int i)
 {
 	backend_set_remove(&b->traffic.backends, b->servers[i].id);
@@ -240,7 +241,7 @@
 	bench_free(b);
 }
 
-/* Applies to a server whose entry arrives later, too. */
+/* Also if the entry of the server arrives after the announcement. */
 static void test_draining_from_peer(void **state)
 {
 	struct bench *b = bench_new(2);
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -42,6 +42,7 @@
 	int64_t since_ms;
 };
 
+/* Passes a notice to the control thread, which sends it to peers. */
 static void send_notice(struct traffic *t, enum crash_notice_kind kind,
 			uint64_t digest, uint32_t detail)
 {
@@ -126,6 +127,7 @@
 	return HTTP_TAKE;
 }
 
+/* Compares the server that the response names with the one that was probed. */
 static void on_response(void *priv, struct http_message *m)
 {
 	struct crash_check *c = priv;
@@ -146,6 +148,9 @@
 		retry_or_give_up(c, "an answer without a name");
 }
 
+/*
+ * Of all failures only a refused connection proves that the process has ended.
+ */
 static void on_failed(void *priv, int err, bool sent)
 {
 	if (err == -ECONNREFUSED)
@@ -192,6 +197,10 @@
 	return 0;
 }
 
+/*
+ * Returns whether a probe may be sent now; if so it is charged to the ask
+ * budget.
+ */
 static bool take_probe_budget(struct traffic *t)
 {
 	return ask_budget_take(&t->asks, &t->ask_rule, traffic_servers(t), 1, 1,
--- a/traffic/drain_gossip.c
+++ b/traffic/drain_gossip.c
@@ -13,6 +13,10 @@
 	TICK_MS = 100,
 };
 
+/*
+ * Logs that a server drains; `by` says who announced it. b is its entry, or
+ * NULL.
+ */
 static void log_draining(const struct server_state *m, const char *by,
 			 const struct backend *b)
 {
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -23,6 +23,7 @@
 		 text.ptr);
 }
 
+/* Starts the backoff that b asked for. */
 static void back_off(struct traffic *t, struct backend *b, double backoff_s)
 {
 	struct server_state *s = b->state;
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -29,7 +29,8 @@
 		l->granted_ms = 0;
 		return LIMIT_PAYS_PEER;
 	}
-	mp_invariant(l->looks, "a send that neither a share, a grant nor a probe covers");
+	mp_invariant(l->looks,
+		     "a send that neither a share, a grant nor a probe covers");
 	l->looks = false;
 	return LIMIT_PAYS_LOOK;
 }
@@ -84,6 +85,7 @@
 	s->payer = LIMIT_PAYS_NONE;
 }
 
+/* Passes a request or a grant to the control thread, which sends it. */
 static void send_to_peers(struct traffic *t, const struct limit_call *call)
 {
 	struct limit_call *copy = g_memdup2(call, sizeof(*call));
@@ -110,6 +112,7 @@
 	return limit_want_until_ms(w);
 }
 
+/* Finds a service by the hash of its name, or returns NULL. */
 static struct service *find_service(struct traffic *t, uint32_t hash)
 {
 	GHashTableIter it;
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -139,6 +139,7 @@
 	return true;
 }
 
+/* Passes news to the control thread, which sends them to peers. */
 static void send_news(struct traffic *t, const struct limit_news *news)
 {
 	struct limit_news *copy = g_memdup2(news, sizeof(*news));
@@ -148,6 +149,7 @@
 		g_free(copy);
 }
 
+/* Returns the age of a time, limited to what fits a datagram's field. */
 static uint32_t age_ms(int64_t at_ms, int64_t now_ms)
 {
 	int64_t age = now_ms - at_ms;
@@ -321,6 +323,7 @@
 	b->state->limit->tell_ms = now_ms + END_RESEND_MS;
 }
 
+/* Announces the limits and ends that are due, and plans probes. */
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int revents)
 {
 	struct traffic *t = timer->data;
