--- a/tests/test_hubs.c
+++ b/tests/test_hubs.c
@@ -176,7 +176,7 @@
 				&c->nodes[index_of(p->info.name)];
 
 			if (peer_alive(p, c->now) != (o->up && !o->cut))
-				fail_msg("seed %u round %d: %s takes %s for "
+				fail_msg("seed %u round %d: %s considers %s "
 					 "%s",
 					 seed, round, node->t.self.name,
 					 p->info.name,
--- a/traffic/drain_gossip.c
+++ b/traffic/drain_gossip.c
@@ -17,13 +17,13 @@
  * Logs that a server drains; `by` says who announced it. b is its entry, or
  * NULL.
  */
-static void log_draining(const struct server_state *m, const char *by,
+static void log_draining(const struct server_state *s, const char *by,
 			 const struct backend *b)
 {
 	mp_event(EV_BACKEND_DRAINING, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s by=%s listed=%d listed_as_draining=%d "
 		 "in_flight=%u",
-		 m->id, b ? b->service->name : "-", by, b != NULL,
+		 s->id, b ? b->service->name : "-", by, b != NULL,
 		 b && b->entry.draining, b ? b->in_flight : 0);
 }
 
@@ -47,21 +47,21 @@
 
 	g_hash_table_iter_init(&it, t->backends.states.all);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct server_state *m = v;
+		struct server_state *s = v;
 		struct drain_item *item;
 
-		if (!m->drain_tells)
+		if (!s->drain_tells)
 			continue;
-		if (news.n == DRAIN_NEWS_MAX || now_ms < m->drain_tell_ms) {
+		if (news.n == DRAIN_NEWS_MAX || now_ms < s->drain_tell_ms) {
 			more = true;
 			continue;
 		}
 		item = &news.items[news.n++];
-		g_strlcpy(item->id, m->id, sizeof(item->id));
-		item->born_ms = m->born_ms;
-		m->drain_tells--;
-		m->drain_tell_ms = now_ms + RESEND_MS;
-		more = more || m->drain_tells;
+		g_strlcpy(item->id, s->id, sizeof(item->id));
+		item->born_ms = s->born_ms;
+		s->drain_tells--;
+		s->drain_tell_ms = now_ms + RESEND_MS;
+		more = more || s->drain_tells;
 	}
 	if (!news.n)
 		return more;
@@ -90,14 +90,14 @@
 /* Handles an announcement in a response of b. */
 void drain_gossip_announced(struct traffic *t, struct backend *b)
 {
-	struct server_state *m = b->state;
+	struct server_state *s = b->state;
 
-	if (m->draining)
+	if (s->draining)
 		return;
-	m->draining = true;
-	m->drain_tells = ANNOUNCEMENTS;
-	m->drain_tell_ms = 0;
-	log_draining(m, "answer", b);
+	s->draining = true;
+	s->drain_tells = ANNOUNCEMENTS;
+	s->drain_tell_ms = 0;
+	log_draining(s, "answer", b);
 	if (send_due(t, clock_ms()))
 		start_timer(t);
 }
@@ -107,17 +107,17 @@
 {
 	for (unsigned i = 0; i < news->n; i++) {
 		const struct drain_item *it = &news->items[i];
-		struct server_state *m = server_state_get(&t->backends.states,
+		struct server_state *s = server_state_get(&t->backends.states,
 							  it->id, it->born_ms);
 		const struct backend *b =
 			g_hash_table_lookup(t->backends.by_id, it->id);
 
-		if (!m->draining)
-			log_draining(m, "peer", b && b->state == m ? b : NULL);
-		m->draining = true;
-		if (m->drain_tells)
-			m->drain_tells--;
-		server_state_release(m);
+		if (!s->draining)
+			log_draining(s, "peer", b && b->state == s ? b : NULL);
+		s->draining = true;
+		if (s->drain_tells)
+			s->drain_tells--;
+		server_state_release(s);
 	}
 }
 
@@ -130,12 +130,12 @@
 
 	g_hash_table_iter_init(&it, t->backends.by_id);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		struct server_state *m = ((struct backend *)v)->state;
+		struct server_state *s = ((struct backend *)v)->state;
 
-		if (!m->draining || m->drain_tells)
+		if (!s->draining || s->drain_tells)
 			continue;
-		m->drain_tells = 1;
-		m->drain_tell_ms =
+		s->drain_tells = 1;
+		s->drain_tell_ms =
 			now_ms +
 			g_rand_int_range(t->rand, 0, NEW_PEER_JITTER_MS);
 		start_timer(t);
