--- a/control/backend_feed.c
+++ b/control/backend_feed.c
@@ -27,8 +27,9 @@
 	GHashTableIter it;
 	gpointer v;
 
-	l->listing_end =
-		store_position_cmp(f->listed, f->to) > 0 ? f->listed : f->to;
+	l->listing_end = store_position_cmp(f->listed_from, f->to) > 0
+				 ? f->listed_from
+				 : f->to;
 	g_hash_table_iter_init(&it, l->entries);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct list_entry *e = v;
@@ -52,7 +53,7 @@
 	 * `listed` on.
 	 */
 	return known.era == f->to.era &&
-	       store_position_cmp(f->listed, known) <= 0;
+	       store_position_cmp(f->listed_from, known) <= 0;
 }
 
 /*
@@ -72,8 +73,9 @@
 		return true;
 	if (!covers(f, known))
 		return false;
-	if (f->settle_ms && now_ms + f->settle_ms > l->grace_until_ms)
-		l->grace_until_ms = now_ms + f->settle_ms;
+	if (f->removal_delay_ms &&
+	    now_ms + f->removal_delay_ms > l->grace_until_ms)
+		l->grace_until_ms = now_ms + f->removal_delay_ms;
 	else
 		backend_list_grace_if_stale(l, now_ms);
 	if (f->to.era > known.era)
@@ -102,10 +104,10 @@
 	int64_t settle = l->grace_until_ms - now_ms;
 
 	f->from = l->recent_from;
-	f->listed = l->listing_end;
+	f->listed_from = l->listing_end;
 	f->to = l->pos;
 	f->age_ms = (uint32_t)(now_ms - l->fresh_ms);
-	f->settle_ms = settle > 0 ? (uint32_t)settle : 0;
+	f->removal_delay_ms = settle > 0 ? (uint32_t)settle : 0;
 	f->changes = l->recent;
 }
 
@@ -132,7 +134,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct list_entry *d = v;
 		struct backend_change c = {
-			.pos = d->pos, .doubted = true, .entry = d->entry};
+			.pos = d->pos, .unconfirmed = true, .entry = d->entry};
 
 		g_array_append_val(changes, c);
 	}
@@ -163,8 +165,8 @@
 int64_t backend_list_next_read_ms(unsigned rank, bool large, int64_t fresh_ms,
 				  int64_t tried_ms, unsigned failures)
 {
-	int64_t longest =
-		large && rank >= HUBS ? RETRY_BEHIND_HUBS_MS : RETRY_MAX_MS;
+	int64_t longest = large && rank >= HUB_COUNT ? RETRY_BEHIND_HUBS_MS
+						     : RETRY_MAX_MS;
 	unsigned r = rank < RANK_MAX ? rank : RANK_MAX;
 	int64_t due = fresh_ms + (rank ? TAKEOVER_MS + (int64_t)r * RANK_STEP_MS
 				       : READ_MS);
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -160,7 +160,7 @@
 	d->entry = c->entry;
 	d->pos = c->pos;
 	d->seen = true;
-	unconfirmed.doubted = true;
+	unconfirmed.unconfirmed = true;
 	record_recent(l, &unconfirmed, now_ms);
 	backend_list_add_unconfirmed(l, d, now_ms);
 	mp_event(EV_MEMBER_DOUBTED, G_LOG_LEVEL_MESSAGE,
@@ -250,7 +250,7 @@
 		return;
 	}
 	e = g_hash_table_lookup(l->entries, c->entry.id);
-	if (c->doubted) {
+	if (c->unconfirmed) {
 		if (!e)
 			add_unconfirmed_entry(l, c, now_ms);
 		return;
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -358,7 +358,8 @@
 }
 
 /* Returns whether a peer's version supersedes the current one. */
-static bool is_newer(const struct config_watch *w, const struct config_mark *m)
+static bool is_newer(const struct config_watch *w,
+		     const struct config_progress *m)
 {
 	if (m->version != w->version)
 		return m->version > w->version;
@@ -370,7 +371,7 @@
  * restored from a backup that lacks it.
  */
 static enum config_action choose_action(struct config_watch *w,
-					const struct config_mark *m,
+					const struct config_progress *m,
 					int64_t now_ms)
 {
 	bool ahead = store_position_cmp(m->pos, w->pos) > 0;
@@ -399,7 +400,7 @@
  * and that no pending call will return.
  */
 enum config_action config_watch_on_mark(struct config_watch *w,
-					const struct config_mark *m,
+					const struct config_progress *m,
 					int64_t now_ms)
 {
 	if (is_newer(w, m))
@@ -439,10 +440,10 @@
 }
 
 /* config_watch_mark() returns how far this instance knows the configuration. */
-struct config_mark config_watch_mark(const struct config_watch *w,
-				     int64_t store_ms, int64_t now_ms)
+struct config_progress config_watch_mark(const struct config_watch *w,
+					 int64_t store_ms, int64_t now_ms)
 {
-	return (struct config_mark){
+	return (struct config_progress){
 		.pos = w->pos,
 		.age_ms = config_watch_age_ms(w, store_ms, now_ms),
 		.version = w->version,
--- a/control/config_watch.h
+++ b/control/config_watch.h
@@ -27,12 +27,12 @@
 	uint32_t digest;   /* of that record */
 	bool listed;	   /* the newest version was read at least once */
 	bool relist;	   /* the store no longer has `pos` */
-	struct store_position pos;	/* records before it are applied */
-	uint64_t version;		/* the newest valid one; 0: none */
-	uint32_t invalid_digest;	/* a peer's invalid record */
-	struct config_mark newest_mark; /* supersedes `version` */
-	unsigned failures;		/* consecutive */
-	int64_t call_sent_ms;		/* when the pending call was sent */
+	struct store_position pos;	    /* records before it are applied */
+	uint64_t version;		    /* the newest valid one; 0: none */
+	uint32_t invalid_digest;	    /* a peer's invalid record */
+	struct config_progress newest_mark; /* supersedes `version` */
+	unsigned failures;		    /* consecutive */
+	int64_t call_sent_ms;		    /* when the pending call was sent */
 	bool behind_hubs; /* the hubs detect when the store is back */
 	bool polls;	  /* a poll is to be pending at all times */
 	int64_t fresh_ms; /* when the store last returned the newest record */
@@ -58,12 +58,12 @@
 int config_watch_apply_peer(struct config_watch *w, struct lstr record,
 			    struct store_position pos, int64_t told_ms);
 enum config_action config_watch_on_mark(struct config_watch *w,
-					const struct config_mark *m,
+					const struct config_progress *m,
 					int64_t now_ms);
 bool config_watch_is_behind(const struct config_watch *w);
 void config_watch_new_era(struct config_watch *w, int64_t now_ms);
-struct config_mark config_watch_mark(const struct config_watch *w,
-				     int64_t store_ms, int64_t now_ms);
+struct config_progress config_watch_mark(const struct config_watch *w,
+					 int64_t store_ms, int64_t now_ms);
 uint32_t config_watch_age_ms(const struct config_watch *w, int64_t store_ms,
 			     int64_t now_ms);
 void config_watch_restart(struct config_watch *w);
--- a/control/control.c
+++ b/control/control.c
@@ -124,7 +124,7 @@
 {
 	struct control *c = priv;
 	int64_t now_ms = clock_ms();
-	bool large = hubs_serve(&c->peers.peers);
+	bool large = hubs_enabled(&c->peers.peers);
 	unsigned rank = peers_rank(&c->peers.peers, now_ms);
 
 	control_publish_age(c);
@@ -145,7 +145,7 @@
 	if (need == CONFIG_ASK_PEER)
 		(void)peer_fetch_config(&c->peer_fetch, peer, true);
 	else if (need == CONFIG_READ_STORE &&
-		 (!hubs_serve(&c->peers.peers) ||
+		 (!hubs_enabled(&c->peers.peers) ||
 		  peer_fetch_config(&c->peer_fetch, peer, false)))
 		config_watch_read(&c->config);
 }
@@ -164,7 +164,7 @@
 		backend_watch_apply_feed(&c->backends, &m->feed, now_ms);
 		control_publish_age(c);
 	}
-	if (m->kind == GOSSIP_CRASH)
+	if (m->kind == GOSSIP_CRASHES)
 		crash_watch_add_peer(&c->crashes, m->sender.name, m->crashes);
 	fetch_config(
 		c, &m->sender,
@@ -183,7 +183,7 @@
 static bool views_equal(const struct peer_view *a, const struct peer_view *b)
 {
 	return a->instances == b->instances &&
-	       arrays_equal(a->named, b->named, sizeof(struct peer_brief)) &&
+	       arrays_equal(a->named, b->named, sizeof(struct peer_endpoint)) &&
 	       arrays_equal(a->sharers, b->sharers,
 			    sizeof(struct limit_instance));
 }
@@ -241,7 +241,7 @@
 		mp_event(EV_PEER_LOST, G_LOG_LEVEL_MESSAGE,
 			 "peer=%s dc=%s leaving=%d silent_ms=%" G_GINT64_FORMAT,
 			 p->info.name, p->info.dc, p->info.leaving,
-			 now_ms - p->heard_ms);
+			 now_ms - p->heartbeat_ms);
 }
 
 /* Collects what the startup decides on. */
@@ -249,14 +249,14 @@
 {
 	return (struct start_state){
 		.done = c->can_serve,
-		.large = hubs_serve(&c->peers.peers),
+		.large = hubs_enabled(&c->peers.peers),
 		.first_start = c->settings.first_start,
 		.members_read = c->record.listed,
 		.members_read_ms = c->record.listed_ms,
-		.ready_peers = peers_ready(&c->peers.peers, now_ms),
+		.ready_peers = peers_count_ready(&c->peers.peers, now_ms),
 		.failed_fetches = c->peer_fetch.failures,
 		.member_failures = c->record.failures,
-		.rank = peers_start_rank(&c->peers.peers, now_ms),
+		.rank = peers_startup_rank(&c->peers.peers, now_ms),
 		.started_ms = c->started_ms,
 	};
 }
@@ -283,7 +283,7 @@
 	unsigned store_failures =
 		c->config.failures + c->backends.failures + c->record.failures;
 
-	c->config.behind_hubs = start.large && rank >= HUBS;
+	c->config.behind_hubs = start.large && rank >= HUB_COUNT;
 	config_watch_tick(&c->config, reads || c->peer_fetch.config_too_large,
 			  rank < CONFIG_POLLERS, now_ms);
 	backend_watch_tick(&c->backends, reads, rank, start.large, now_ms);
@@ -448,12 +448,13 @@
 	c->out = out;
 	g_strlcpy(self.name, s->name, sizeof(self.name));
 	g_strlcpy(self.dc, s->dc, sizeof(self.dc));
-	g_strlcpy(self.callers, s->callers, sizeof(self.callers));
+	g_strlcpy(self.caller_addr, s->callers, sizeof(self.caller_addr));
 	if (s->own)
-		g_strlcpy(self.own, s->own, sizeof(self.own));
-	if (getrandom(&self.boot, sizeof(self.boot), 0) != sizeof(self.boot))
+		g_strlcpy(self.own_addr, s->own, sizeof(self.own_addr));
+	if (getrandom(&self.boot_id, sizeof(self.boot_id), 0) !=
+	    sizeof(self.boot_id))
 		return -EIO;
-	self.boot >>= 1; /* fits a signed integer too */
+	self.boot_id >>= 1; /* fits a signed integer too */
 	rc = peer_channel_open(&c->peers, c->loop, s->peers, &self, on_peer, c);
 	if (rc)
 		return rc;
--- a/control/control.h
+++ b/control/control.h
@@ -36,7 +36,7 @@
 /* Messages from the traffic thread; the receiver owns the data. */
 enum from_traffic {
 	FROM_TRAFFIC_STOPPED = 1, /* no data: all requests are done */
-	FROM_TRAFFIC_CRASH = 3,	  /* struct crash_news * */
+	FROM_TRAFFIC_CRASH = 3,	  /* struct crash_notice * */
 	FROM_TRAFFIC_LOAD = 2,	  /* struct peer_load *, sender not set */
 	FROM_TRAFFIC_LIMITS = 4,  /* struct limit_gossip *, sender not set */
 	FROM_TRAFFIC_DRAIN = 6,	  /* struct drain_gossip *, sender not set */
@@ -47,7 +47,7 @@
 /* What the traffic thread needs to know of the peers. */
 struct peer_view {
 	unsigned instances; /* number that share the system's limits */
-	GArray *named; /* struct peer_brief, instances that callers may use */
+	GArray *named; /* struct peer_endpoint, instances that callers may use */
 	/* struct limit_instance, see peers_sharers(); empty until known */
 	GArray *sharers;
 };
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -27,7 +27,7 @@
 
 /* News to be sent repeatedly to the other instances. */
 struct broadcast {
-	struct crash_news news;
+	struct crash_notice news;
 	unsigned sends_left;
 	int64_t next_ms;
 	int64_t interval_ms;
@@ -75,13 +75,13 @@
 /* Evidence goes to the instances that decide, verdicts go to all. */
 static bool goes_to_all(const struct crash_watch *w, const struct broadcast *t)
 {
-	if (!w->large || t->news.kind == CRASH_NEWS_QUARANTINE)
+	if (!w->large || t->news.kind == CRASH_NOTICE_QUARANTINE)
 		return true;
-	return t->news.kind == CRASH_NEWS_ANSWERED && w->rank < HUBS;
+	return t->news.kind == CRASH_NOTICE_ANSWERED && w->rank < HUB_COUNT;
 }
 
 /* Sends one datagram of news to all live peers or to the hubs. */
-static void send_news(struct crash_watch *w, const struct crash_news *news,
+static void send_news(struct crash_watch *w, const struct crash_notice *news,
 		      unsigned n, bool to_all, int64_t now_ms)
 {
 	struct buf b = {0};
@@ -99,7 +99,7 @@
 /* Sends the due broadcasts that go to all, or those that go to the hubs. */
 static void send_due(struct crash_watch *w, bool to_all, int64_t now_ms)
 {
-	struct crash_news news[CRASH_NEWS_MAX];
+	struct crash_notice news[CRASH_NOTICES_MAX];
 	unsigned n = 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
@@ -109,7 +109,7 @@
 		if (t->next_ms > now_ms || goes_to_all(w, t) != to_all)
 			continue;
 		news[n++] = t->news;
-		if (n < CRASH_NEWS_MAX)
+		if (n < CRASH_NOTICES_MAX)
 			continue;
 		send_news(w, news, n, to_all, now_ms);
 		n = 0;
@@ -141,7 +141,7 @@
 /* Only the hubs receive all evidence in a large system. */
 static bool decides(const struct crash_watch *w)
 {
-	return !w->large || w->rank < HUBS;
+	return !w->large || w->rank < HUB_COUNT;
 }
 
 /* Sets the timer to the next decision or broadcast. */
@@ -193,8 +193,8 @@
 }
 
 /* Schedules a repeated broadcast; it is sent from the event loop. */
-static void add_broadcast(struct crash_watch *w, const struct crash_news *news,
-			  unsigned times)
+static void add_broadcast(struct crash_watch *w,
+			  const struct crash_notice *news, unsigned times)
 {
 	int64_t now_ms = clock_ms();
 	struct broadcast t = {.news = *news,
@@ -210,10 +210,10 @@
 	arm(w, now_ms);
 }
 
-static struct crash_news verdict_news(const struct crash_case *c)
+static struct crash_notice verdict_news(const struct crash_case *c)
 {
-	return (struct crash_news){CRASH_NEWS_QUARANTINE, c->digest,
-				   c->periods};
+	return (struct crash_notice){CRASH_NOTICE_QUARANTINE, c->digest,
+				     c->periods};
 }
 
 /*
@@ -223,9 +223,9 @@
  */
 static void announce(struct crash_watch *w, const struct crash_case *c)
 {
-	struct crash_news news = verdict_news(c);
+	struct crash_notice news = verdict_news(c);
 
-	if (c->periods > 1 || w->rank >= HUBS)
+	if (c->periods > 1 || w->rank >= HUB_COUNT)
 		return;
 	if (!w->from_store)
 		crash_record_put(&w->record, &news);
@@ -242,7 +242,7 @@
 static void drop_record(struct crash_watch *w, const struct crash_case *c,
 			enum crash_change change)
 {
-	struct crash_news news = {CRASH_NEWS_ANSWERED, c->digest, 0};
+	struct crash_notice news = {CRASH_NOTICE_ANSWERED, c->digest, 0};
 	bool writer = change == CRASH_RELEASED ? !w->source : w->rank == 0;
 
 	if (c->quarantined &&
@@ -265,7 +265,7 @@
 }
 
 /* An answer matters only for a request that has a case. */
-static void apply_answer(struct crash_watch *w, const struct crash_news *news,
+static void apply_answer(struct crash_watch *w, const struct crash_notice *news,
 			 int64_t now_ms)
 {
 	const struct crash_case *c =
@@ -278,21 +278,21 @@
 	/*
 	 * In a large system the hubs forward answers that end their verdicts.
 	 */
-	if (!w->source || (verdict && w->large && w->rank < HUBS))
+	if (!w->source || (verdict && w->large && w->rank < HUB_COUNT))
 		add_broadcast(w, news,
 			      verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
 	crash_tracker_add_answer(&w->ledger, news->digest, now_ms);
 }
 
 /* An instance that reports another end doesn't know the verdict yet. */
-static void apply_end(struct crash_watch *w, const struct crash_news *news,
+static void apply_end(struct crash_watch *w, const struct crash_notice *news,
 		      int64_t now_ms)
 {
 	const struct crash_case *c =
 		crash_tracker_find(&w->ledger, news->digest);
-	struct crash_news verdict;
+	struct crash_notice verdict;
 
-	if (c && c->quarantined && w->source && w->rank < HUBS) {
+	if (c && c->quarantined && w->source && w->rank < HUB_COUNT) {
 		verdict = verdict_news(c);
 		add_broadcast(w, &verdict, 1);
 	}
@@ -302,18 +302,18 @@
 }
 
 /* Applies one item of news to the ledger. */
-static void apply(struct crash_watch *w, const struct crash_news *news)
+static void apply(struct crash_watch *w, const struct crash_notice *news)
 {
 	int64_t now_ms = clock_ms();
 
 	switch (news->kind) {
-	case CRASH_NEWS_END:
+	case CRASH_NOTICE_CRASHED:
 		apply_end(w, news, now_ms);
 		break;
-	case CRASH_NEWS_ANSWERED:
+	case CRASH_NOTICE_ANSWERED:
 		apply_answer(w, news, now_ms);
 		break;
-	case CRASH_NEWS_QUARANTINE:
+	case CRASH_NOTICE_QUARANTINE:
 		crash_tracker_quarantine(&w->ledger, news->digest, news->detail,
 					 now_ms);
 		break;
@@ -322,7 +322,8 @@
 }
 
 /* crash_watch_add_local() handles news from this instance's own traffic. */
-void crash_watch_add_local(struct crash_watch *w, const struct crash_news *news)
+void crash_watch_add_local(struct crash_watch *w,
+			   const struct crash_notice *news)
 {
 	w->source = NULL;
 	apply(w, news);
@@ -334,7 +335,7 @@
 {
 	w->source = source;
 	for (guint i = 0; i < news->len; i++)
-		apply(w, &g_array_index(news, struct crash_news, i));
+		apply(w, &g_array_index(news, struct crash_notice, i));
 	w->source = NULL;
 }
 
@@ -355,18 +356,19 @@
 
 /*
  * crash_watch_verdicts() returns the requests that are refused, as struct
- * crash_news; unref the array after use.
+ * crash_notice; unref the array after use.
  */
 GArray *crash_watch_verdicts(const struct crash_watch *w)
 {
-	GArray *verdicts = g_array_new(FALSE, FALSE, sizeof(struct crash_news));
+	GArray *verdicts =
+		g_array_new(FALSE, FALSE, sizeof(struct crash_notice));
 	GHashTableIter it;
 	gpointer v;
 
 	g_hash_table_iter_init(&it, w->ledger.cases);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct crash_case *c = v;
-		struct crash_news news = verdict_news(c);
+		struct crash_notice news = verdict_news(c);
 
 		if (c->quarantined)
 			g_array_append_val(verdicts, news);
@@ -380,7 +382,8 @@
 	GArray *verdicts = crash_watch_verdicts(w);
 
 	for (guint i = 0; i < verdicts->len; i++)
-		add_broadcast(w, &g_array_index(verdicts, struct crash_news, i),
+		add_broadcast(w,
+			      &g_array_index(verdicts, struct crash_notice, i),
 			      EVIDENCE_SENDS);
 	g_array_unref(verdicts);
 }
@@ -390,7 +393,7 @@
 {
 	w->rank = rank;
 	w->large = large;
-	if (w->joins != w->channel->joins && rank < HUBS)
+	if (w->joins != w->channel->joins && rank < HUB_COUNT)
 		broadcast_verdicts(w);
 	w->joins = w->channel->joins;
 	crash_tracker_tick(&w->ledger, rank == 0, clock_ms());
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -39,7 +39,7 @@
 		       void (*verdict)(void *priv, const struct verdict *v),
 		       void *priv);
 void crash_watch_add_local(struct crash_watch *w,
-			   const struct crash_news *news);
+			   const struct crash_notice *news);
 void crash_watch_add_peer(struct crash_watch *w, const char *source,
 			  const GArray *news);
 void crash_watch_add_stored(struct crash_watch *w, const GArray *news);
--- a/control/feeder.c
+++ b/control/feeder.c
@@ -23,7 +23,7 @@
  */
 enum feed_target feeder_target_after_read(bool large, unsigned rank)
 {
-	return large && rank >= HUBS ? FEED_HUBS : FEED_ALL;
+	return large && rank >= HUB_COUNT ? FEED_HUBS : FEED_ALL;
 }
 
 /*
@@ -51,7 +51,7 @@
 	if (to == FEED_NONE)
 		return;
 	backend_list_build_feed(list, &feed, now_ms);
-	at = gossip_feed_begin(&feed,
+	at = gossip_feed_first(&feed,
 			       ch->has_new_peer ? (struct store_position){0}
 						: f->sent_pos,
 			       CHANGES_MAX);
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -1,5 +1,5 @@
 /*
- * Datagrams to and from the other entry instances: heartbeats, the roll of live
+ * Datagrams to and from the other entry instances: heartbeats, the roster of live
  * instances, requests for a member's details, and whatever else the control
  * thread sends.
  */
@@ -17,9 +17,9 @@
 	ev_io io;
 	unsigned joins;		 /* peers that joined or returned so far */
 	bool has_new_peer;	 /* a peer joined since the last feed */
-	uint32_t roll_digest;	 /* of the last roll sent */
+	uint32_t roster_digest;	 /* of the last roster sent */
 	int64_t roll_changed_ms; /* when that digest last changed */
-	int64_t roll_sent_ms;	 /* when the last roll was sent; 0: never */
+	int64_t roll_sent_ms;	 /* when the last roster was sent; 0: never */
 	uint64_t bytes_in, bytes_out;
 	/* Called for each message that was received. */
 	void (*received)(void *priv, const struct gossip_message *m);
--- a/control/record_check.h
+++ b/control/record_check.h
@@ -15,7 +15,7 @@
 	struct peer_table *peers;
 	struct crash_watch *crashes;
 	GHashTable *boots;    /* instance -> uint64_t *, `boot` of its record */
-	GArray *verdicts;     /* struct crash_news that are stored */
+	GArray *verdicts;     /* struct crash_notice that are stored */
 	bool writing;	      /* the pending call is a write */
 	bool complete;	      /* the batch contains all lost records */
 	uint64_t first_era;   /* known first; 0: none yet */
--- a/member/gossip.c
+++ b/member/gossip.c
@@ -3,13 +3,13 @@
 #include "member/gossip.h"
 #include "misc/codec.h"
 
-/* Positions in the arrays on the wire. */
+/* Lengths of the arrays on the wire. */
 enum {
-	HEAD_FIELDS = 17,
+	SENDER_FIELDS = 17,
 	FEED_FIELDS = 9,
 	CHANGE_FIELDS = 13,
-	CHANGE_ID_FIELDS = 4, /* of one that names a server only */
-	ROLL_FIELDS = 4,
+	CHANGE_ID_FIELDS = 4, /* of a change with an id only */
+	ROSTER_FIELDS = 4,
 	CRASH_FIELDS = 3,
 	LOAD_FIELDS = 3,
 	LIMIT_FIELDS = 5,
@@ -18,14 +18,18 @@
 };
 
 enum {
-	/* Room that one change takes at most, with names of usual length. */
-	CHANGE_BYTES = 190,
-	/* And what stands before the changes. */
-	FEED_HEAD_BYTES = 240,
-	/* Entries of a roll that fit one, behind its sender's names. */
-	ROLL_PART = (GOSSIP_MAX - 290) / 5,
+	/* Maximum size of a change with names of usual length. */
+	CHANGE_MAX_BYTES = 190,
+	/* Size of everything before the changes. */
+	FEED_HEADER_BYTES = 240,
+	/*
+	 * Roster entries per datagram; 290 bytes are left for the sender and
+	 * the headers, an entry takes 5.
+	 */
+	ROSTER_PART_ENTRIES = (GOSSIP_MAX - 290) / 5,
 };
 
+/* Packs an IPv4 address and port in host byte order. */
 static void pack_addr(msgpack_packer *pk, const struct sockaddr_in *sa)
 {
 	msgpack_pack_uint32(pk, ntohl(sa->sin_addr.s_addr));
@@ -38,14 +42,15 @@
 	msgpack_pack_uint64(pk, p.offset);
 }
 
+/* Packs what an instance announces about itself; read by read_info(). */
 static void pack_info(msgpack_packer *pk, const struct peer_info *p)
 {
 	codec_pack_cstr(pk, p->name);
 	codec_pack_cstr(pk, p->dc);
-	codec_pack_cstr(pk, p->callers);
-	codec_pack_cstr(pk, p->own);
+	codec_pack_cstr(pk, p->caller_addr);
+	codec_pack_cstr(pk, p->own_addr);
 	pack_addr(pk, &p->addr);
-	msgpack_pack_uint64(pk, p->boot);
+	msgpack_pack_uint64(pk, p->boot_id);
 	msgpack_pack_uint8(pk, p->leaving);
 	msgpack_pack_uint8(pk, p->ready);
 	msgpack_pack_uint64(pk, p->store_era);
@@ -56,26 +61,28 @@
 	msgpack_pack_uint32(pk, p->config.digest);
 }
 
+/* Begins a datagram: its kind and the sender's peer_info. */
 static void pack_sender(msgpack_packer *pk, enum gossip_kind kind,
 			const struct peer_info *p)
 {
-	bool alone = kind == GOSSIP_BEAT || kind == GOSSIP_AGAIN;
+	bool no_body =
+		kind == GOSSIP_HEARTBEAT || kind == GOSSIP_ROSTER_REQUEST;
 
-	msgpack_pack_array(pk, HEAD_FIELDS + !alone);
+	msgpack_pack_array(pk, SENDER_FIELDS + !no_body);
 	msgpack_pack_int(pk, kind);
 	pack_info(pk, p);
 }
 
-/* gossip_write_beat() writes a heartbeat. */
-void gossip_write_beat(struct buf *out, const struct peer_info *self)
+/* Writes a heartbeat. */
+void gossip_write_heartbeat(struct buf *out, const struct peer_info *self)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_BEAT, self);
+	pack_sender(&pk, GOSSIP_HEARTBEAT, self);
 }
 
-/* gossip_pack_change() writes one change of the list. */
+/* Packs one change of the backend list. */
 void gossip_pack_change(msgpack_packer *pk, const struct backend_change *c)
 {
 	const struct backend_entry *e = &c->entry;
@@ -85,9 +92,9 @@
 	msgpack_pack_array(pk, named_only ? CHANGE_ID_FIELDS : CHANGE_FIELDS);
 	pack_position(pk, c->pos);
 	codec_pack_cstr(pk, e->id);
-	msgpack_pack_uint8(pk, c->doubted   ? CHANGE_DOUBTED
-			       : c->missing ? CHANGE_MISSING
-					    : CHANGE_PLAIN);
+	msgpack_pack_uint8(pk, c->unconfirmed ? CHANGE_UNCONFIRMED
+			       : c->missing   ? CHANGE_MISSING
+					      : CHANGE_PLAIN);
 	if (named_only)
 		return;
 	codec_pack_cstr(pk, e->service);
@@ -100,32 +107,36 @@
 	msgpack_pack_uint64(pk, e->sequence);
 }
 
+/* Returns the position of change `i`. */
 static struct store_position pos_at(const struct backend_feed *feed, guint i)
 {
 	return g_array_index(feed->changes, struct backend_change, i).pos;
 }
 
 /*
- * gossip_feed_begin() chooses the first change to send: none that the peers
- * were not yet sent, from `told` on, is left out, and older ones are
- * repeated as far as one datagram goes, against loss. Beyond
- * changes_max the oldest are left out all the same.
+ * Returns the index of the first change to send. Everything from `sent_to` on,
+ * which peers have not been sent yet, is included; as many older changes as fit
+ * into one datagram are repeated in case they were lost. Never more than
+ * changes_max: beyond that the oldest are left out.
  */
-guint gossip_feed_begin(const struct backend_feed *feed,
-			struct store_position told, guint changes_max)
+guint gossip_feed_first(const struct backend_feed *feed,
+			struct store_position sent_to, guint changes_max)
 {
-	guint fit = (GOSSIP_MAX - FEED_HEAD_BYTES) / CHANGE_BYTES;
+	guint fit = (GOSSIP_MAX - FEED_HEADER_BYTES) / CHANGE_MAX_BYTES;
 	guint len = feed->changes->len;
 	guint begin = len > fit ? len - fit : 0;
 	guint least = len > changes_max ? len - changes_max : 0;
 
 	while (begin > least &&
-	       store_position_cmp(pos_at(feed, begin - 1), told) >= 0)
+	       store_position_cmp(pos_at(feed, begin - 1), sent_to) >= 0)
 		begin--;
 	return begin;
 }
 
-/* Packs changes from `begin` on as far as they fit; returns the end. */
+/*
+ * Packs changes starting at `begin` until the datagram is full. Returns the
+ * index after the last.
+ */
 static guint pack_changes(struct buf *out, const struct backend_feed *feed,
 			  guint begin)
 {
@@ -134,14 +145,14 @@
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	while (end < feed->changes->len &&
-	       out->len + CHANGE_BYTES <= GOSSIP_MAX - FEED_HEAD_BYTES)
+	       out->len + CHANGE_MAX_BYTES <= GOSSIP_MAX - FEED_HEADER_BYTES)
 		gossip_pack_change(&pk, &g_array_index(feed->changes,
 						       struct backend_change,
 						       end++));
 	return end;
 }
 
-/* Where the part that begins with a change goes on from. */
+/* Returns the position where the part starting at change `begin` continues. */
 static struct store_position part_from(const struct backend_feed *feed,
 				       guint begin)
 {
@@ -151,14 +162,14 @@
 		return feed->from;
 	after = store_position_after(pos_at(feed, begin - 1));
 	next = begin < feed->changes->len ? pos_at(feed, begin) : feed->to;
-	/* What a copy of the store lacks all stands at one place. */
+	/* Changes for records that a restored copy lacks share one position. */
 	return store_position_cmp(next, after) < 0 ? next : after;
 }
 
 /*
- * gossip_write_feed() writes one datagram with the changes from `begin` on
- * and returns the index of the first that did not fit. Only the last one says
- * how old the list is, as only with it the list is complete.
+ * Writes one datagram with the changes starting at `begin` and returns the
+ * index of the first that did not fit. Only the last datagram states the age of
+ * the list, since the list is complete only with it.
  */
 guint gossip_write_feed(struct buf *out, const struct peer_info *self,
 			const struct backend_feed *feed, guint begin)
@@ -172,10 +183,10 @@
 	pack_sender(&pk, GOSSIP_FEED, self);
 	msgpack_pack_array(&pk, FEED_FIELDS);
 	pack_position(&pk, part_from(feed, begin));
-	pack_position(&pk, feed->listed);
+	pack_position(&pk, feed->listed_from);
 	pack_position(&pk, last ? feed->to : pos_at(feed, end));
 	msgpack_pack_uint32(&pk, last ? feed->age_ms : AGE_UNKNOWN);
-	msgpack_pack_uint32(&pk, feed->settle_ms);
+	msgpack_pack_uint32(&pk, feed->removal_delay_ms);
 	msgpack_pack_array(&pk, end - begin);
 	buf_add_lstr(out, buf_lstr(&changes));
 	buf_free(&changes);
@@ -183,8 +194,8 @@
 }
 
 /*
- * gossip_write_load() writes what an instance has out. It goes to all some
- * twenty times a second from each, so all that a heartbeat says is left out.
+ * Writes this instance's requests in flight. Sent to all peers about twenty
+ * times a second, so the sender is an id only.
  */
 void gossip_write_load(struct buf *out, const struct peer_load *load)
 {
@@ -201,18 +212,19 @@
 	}
 }
 
-/* Ids that are ready, or those that aren't. */
-static void pack_roll_ids(msgpack_packer *pk, const struct roll *r, bool ready)
+/* Packs the ids of the entries that are ready, or of those that are not. */
+static void pack_roster_ids(msgpack_packer *pk, const struct roster *r,
+			    bool ready)
 {
 	size_t n = 0;
 
 	for (guint i = 0; i < r->entries->len; i++)
-		n += g_array_index(r->entries, struct roll_entry, i).ready ==
+		n += g_array_index(r->entries, struct roster_entry, i).ready ==
 		     ready;
 	msgpack_pack_array(pk, n);
 	for (guint i = 0; i < r->entries->len; i++) {
-		const struct roll_entry *e =
-			&g_array_index(r->entries, struct roll_entry, i);
+		const struct roster_entry *e =
+			&g_array_index(r->entries, struct roster_entry, i);
 
 		if (e->ready == ready)
 			msgpack_pack_fix_uint32(pk, e->id);
@@ -220,80 +232,80 @@
 }
 
 /*
- * gossip_write_roll() writes the entries of a roll from `begin` on that fit a
- * datagram, 5 bytes each, and returns the index of the next one.
+ * Writes as many roster entries as fit into a datagram, starting at `begin`.
+ * Returns the index of the next one.
  */
-guint gossip_write_roll(struct buf *out, const struct peer_info *self,
-			const struct roll *roll, guint begin)
+guint gossip_write_roster(struct buf *out, const struct peer_info *self,
+			  const struct roster *roster, guint begin)
 {
-	struct roll part;
+	struct roster part;
 	msgpack_packer pk;
 	guint end;
 
-	roll_init(&part);
-	end = roll_part(roll, begin, ROLL_PART, &part);
+	roster_init(&part);
+	end = roster_part(roster, begin, ROSTER_PART_ENTRIES, &part);
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_ROLL, self);
-	msgpack_pack_array(&pk, ROLL_FIELDS);
+	pack_sender(&pk, GOSSIP_ROSTER, self);
+	msgpack_pack_array(&pk, ROSTER_FIELDS);
 	msgpack_pack_uint32(&pk, part.lo);
 	msgpack_pack_uint32(&pk, part.hi);
-	pack_roll_ids(&pk, &part, true);
-	pack_roll_ids(&pk, &part, false);
-	roll_clear(&part);
+	pack_roster_ids(&pk, &part, true);
+	pack_roster_ids(&pk, &part, false);
+	roster_clear(&part);
 	return end;
 }
 
-/* gossip_write_who() asks for one that a roll names and nobody else did. */
-void gossip_write_who(struct buf *out, const struct peer_info *self,
-		      uint32_t id)
+/* Asks for the peer_info of an instance that only a roster has named so far. */
+void gossip_write_info_request(struct buf *out, const struct peer_info *self,
+			       uint32_t id)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_WHO, self);
+	pack_sender(&pk, GOSSIP_INFO_REQUEST, self);
 	msgpack_pack_uint32(&pk, id);
 }
 
-/* gossip_write_same() says that the roll is as it was. */
-void gossip_write_same(struct buf *out, const struct peer_info *self,
-		       uint32_t digest)
+/* Announces that the roster still has this digest. */
+void gossip_write_roster_digest(struct buf *out, const struct peer_info *self,
+				uint32_t digest)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_SAME, self);
+	pack_sender(&pk, GOSSIP_ROSTER_DIGEST, self);
 	msgpack_pack_uint32(&pk, digest);
 }
 
-/* gossip_write_again() asks for the whole roll. */
-void gossip_write_again(struct buf *out, const struct peer_info *self)
+/* Asks for the full roster. */
+void gossip_write_roster_request(struct buf *out, const struct peer_info *self)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_AGAIN, self);
+	pack_sender(&pk, GOSSIP_ROSTER_REQUEST, self);
 }
 
-/* gossip_write_person() passes on what another instance said of itself. */
-void gossip_write_person(struct buf *out, const struct peer_info *self,
-			 const struct peer_info *person)
+/* Forwards the peer_info of another instance. */
+void gossip_write_info(struct buf *out, const struct peer_info *self,
+		       const struct peer_info *person)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_PERSON, self);
-	msgpack_pack_array(&pk, HEAD_FIELDS - 1);
+	pack_sender(&pk, GOSSIP_INFO, self);
+	msgpack_pack_array(&pk, SENDER_FIELDS - 1);
 	pack_info(&pk, person);
 }
 
-/* gossip_write_crashes() writes at most CRASH_NEWS_MAX news. */
+/* Writes `n` notices, at most CRASH_NOTICES_MAX. */
 void gossip_write_crashes(struct buf *out, const struct peer_info *self,
-			  const struct crash_news *news, unsigned n)
+			  const struct crash_notice *news, unsigned n)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
-	pack_sender(&pk, GOSSIP_CRASH, self);
+	pack_sender(&pk, GOSSIP_CRASHES, self);
 	msgpack_pack_array(&pk, CRASH_FIELDS * (size_t)n);
 	for (unsigned i = 0; i < n; i++) {
 		msgpack_pack_int(&pk, news[i].kind);
@@ -303,8 +315,8 @@
 }
 
 /*
- * gossip_write_limits() writes what servers say of their limits. Its sender is
- * an id only, as it goes to all while servers are in need.
+ * Writes the limits that backend servers have set. Sent to all peers for as
+ * long as servers are limited, so the sender is an id only.
  */
 void gossip_write_limits(struct buf *out, const struct limit_gossip *news)
 {
@@ -312,7 +324,7 @@
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_array(&pk, 3);
-	msgpack_pack_int(&pk, GOSSIP_LIMIT);
+	msgpack_pack_int(&pk, GOSSIP_LIMITS);
 	msgpack_pack_uint32(&pk, news->peer);
 	msgpack_pack_array(&pk, LIMIT_FIELDS * (size_t)news->n);
 	for (unsigned i = 0; i < news->n; i++) {
@@ -326,14 +338,14 @@
 	}
 }
 
-/* gossip_write_drain() writes which servers have said that they leave. */
+/* Writes which backend servers have announced that they drain. */
 void gossip_write_drain(struct buf *out, const struct drain_gossip *news)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_array(&pk, 3);
-	msgpack_pack_int(&pk, GOSSIP_DRAIN);
+	msgpack_pack_int(&pk, GOSSIP_DRAINING);
 	msgpack_pack_uint32(&pk, news->peer);
 	msgpack_pack_array(&pk, DRAIN_FIELDS * (size_t)news->n);
 	for (unsigned i = 0; i < news->n; i++) {
@@ -342,14 +354,15 @@
 	}
 }
 
-/* gossip_write_call() writes a question for a send, or a grant. */
-void gossip_write_call(struct buf *out, const struct limit_borrow_msg *call)
+/* Writes a request for a send, or the grant of one. */
+void gossip_write_grant(struct buf *out, const struct limit_borrow_msg *call)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_array(&pk, CALL_FIELDS);
-	msgpack_pack_int(&pk, call->grant ? GOSSIP_GRANT : GOSSIP_WANT);
+	msgpack_pack_int(&pk,
+			 call->grant ? GOSSIP_GRANT : GOSSIP_GRANT_REQUEST);
 	msgpack_pack_uint32(&pk, call->from);
 	msgpack_pack_uint32(&pk, call->resource);
 	msgpack_pack_uint32(&pk, call->serial);
--- a/member/gossip_read.c
+++ b/member/gossip_read.c
@@ -6,12 +6,16 @@
 
 #include "member/gossip.h"
 
-/* A reader of array elements that remembers whether one was unfit. */
+/*
+ * Iterates over the elements of an array. `bad` is set once one is missing or
+ * has the wrong type, and stays set.
+ */
 struct cursor {
 	const msgpack_object *at, *end;
 	bool bad;
 };
 
+/* Starts at the first element; anything but an array gives a bad cursor. */
 static struct cursor cursor_of(const msgpack_object *o)
 {
 	if (o->type != MSGPACK_OBJECT_ARRAY)
@@ -20,6 +24,7 @@
 			       o->via.array.ptr + o->via.array.size, false};
 }
 
+/* Returns the next element, or nil if there is none. */
 static const msgpack_object *next(struct cursor *c)
 {
 	static const msgpack_object nil = {.type = MSGPACK_OBJECT_NIL};
@@ -31,6 +36,7 @@
 	return c->at++;
 }
 
+/* Reads an unsigned integer. */
 static uint64_t next_uint(struct cursor *c)
 {
 	const msgpack_object *o = next(c);
@@ -42,7 +48,7 @@
 	return o->via.u64;
 }
 
-/* A number of zero or more; whole ones may be written as such. */
+/* Reads a finite number >= 0; integers may be encoded as such. */
 static double next_number(struct cursor *c)
 {
 	const msgpack_object *o = next(c);
@@ -57,7 +63,8 @@
 	return 0;
 }
 
-static void next_text(struct cursor *c, char *dst, size_t max)
+/* Reads a string that fits into `max` bytes with its terminating null byte. */
+static void next_string(struct cursor *c, char *dst, size_t max)
 {
 	const msgpack_object *o = next(c);
 
@@ -69,6 +76,7 @@
 	dst[o->via.str.size] = '\0';
 }
 
+/* Reads an IPv4 address and port. */
 static void next_addr(struct cursor *c, struct sockaddr_in *sa)
 {
 	memset(sa, 0, sizeof(*sa));
@@ -84,7 +92,7 @@
 	return (struct store_position){era, next_uint(c)};
 }
 
-/* gossip_read_change() reads one; false when it is none. */
+/* Decodes one change. Returns false if it is invalid. */
 bool gossip_read_change(const msgpack_object *o, struct backend_change *out)
 {
 	struct cursor c = cursor_of(o);
@@ -93,15 +101,15 @@
 
 	memset(out, 0, sizeof(*out));
 	out->pos = next_position(&c);
-	next_text(&c, e->id, sizeof(e->id));
+	next_string(&c, e->id, sizeof(e->id));
 	kind = next_uint(&c);
 	out->missing = kind == CHANGE_MISSING;
-	out->doubted = kind == CHANGE_DOUBTED;
+	out->unconfirmed = kind == CHANGE_UNCONFIRMED;
 	out->removed = !out->missing && c.at == c.end;
 	if (c.at == c.end)
 		return !c.bad;
-	next_text(&c, e->service, sizeof(e->service));
-	next_text(&c, e->dc, sizeof(e->dc));
+	next_string(&c, e->service, sizeof(e->service));
+	next_string(&c, e->dc, sizeof(e->dc));
 	next_addr(&c, &e->addr);
 	e->slots = (unsigned)next_uint(&c);
 	e->draining = next_uint(&c) != 0;
@@ -116,10 +124,10 @@
 	struct cursor c = cursor_of(o), list;
 
 	f->from = next_position(&c);
-	f->listed = next_position(&c);
+	f->listed_from = next_position(&c);
 	f->to = next_position(&c);
 	f->age_ms = (uint32_t)next_uint(&c);
-	f->settle_ms = (uint32_t)next_uint(&c);
+	f->removal_delay_ms = (uint32_t)next_uint(&c);
 	list = cursor_of(next(&c));
 	f->changes = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 	while (!list.bad && list.at < list.end) {
@@ -147,12 +155,12 @@
 
 static void read_info(struct cursor *c, struct peer_info *p)
 {
-	next_text(c, p->name, sizeof(p->name));
-	next_text(c, p->dc, sizeof(p->dc));
-	next_text(c, p->callers, sizeof(p->callers));
-	next_text(c, p->own, sizeof(p->own));
+	next_string(c, p->name, sizeof(p->name));
+	next_string(c, p->dc, sizeof(p->dc));
+	next_string(c, p->caller_addr, sizeof(p->caller_addr));
+	next_string(c, p->own_addr, sizeof(p->own_addr));
 	next_addr(c, &p->addr);
-	p->boot = next_uint(c);
+	p->boot_id = next_uint(c);
 	p->leaving = next_uint(c) != 0;
 	p->ready = next_uint(c) != 0;
 	p->store_era = next_uint(c);
@@ -163,7 +171,7 @@
 	p->config.digest = (uint32_t)next_uint(c);
 }
 
-static bool read_person(const msgpack_object *o, struct peer_info *p)
+static bool read_forwarded_info(const msgpack_object *o, struct peer_info *p)
 {
 	struct cursor c = cursor_of(o);
 
@@ -171,41 +179,46 @@
 	return !c.bad;
 }
 
-static bool read_roll_ids(const msgpack_object *o, bool ready, GArray *out)
+static bool read_roster_ids(const msgpack_object *o, bool ready, GArray *out)
 {
 	struct cursor c = cursor_of(o);
 
 	while (!c.bad && c.at < c.end) {
-		struct roll_entry e = {(uint32_t)next_uint(&c), ready};
+		struct roster_entry e = {(uint32_t)next_uint(&c), ready};
 
 		g_array_append_val(out, e);
 	}
 	return !c.bad;
 }
 
-static bool read_roll(const msgpack_object *o, struct roll *r)
+static bool read_roster(const msgpack_object *o, struct roster *r)
 {
 	struct cursor c = cursor_of(o);
 
-	roll_init(r);
+	roster_init(r);
 	r->lo = (uint32_t)next_uint(&c);
 	r->hi = (uint32_t)next_uint(&c);
-	return read_roll_ids(next(&c), true, r->entries) &&
-	       read_roll_ids(next(&c), false, r->entries) && !c.bad;
+	return read_roster_ids(next(&c), true, r->entries) &&
+	       read_roster_ids(next(&c), false, r->entries) && !c.bad;
 }
 
+/*
+ * Reads at most CRASH_NOTICES_MAX notices. Returns false if one is of an
+ * unknown kind.
+ */
 static bool read_crashes(const msgpack_object *o, GArray *out)
 {
 	struct cursor c = cursor_of(o);
 
-	while (!c.bad && c.at < c.end && out->len < CRASH_NEWS_MAX) {
-		struct crash_news n = {
-			.kind = (enum crash_news_kind)next_uint(&c),
+	while (!c.bad && c.at < c.end && out->len < CRASH_NOTICES_MAX) {
+		struct crash_notice n = {
+			.kind = (enum crash_notice_kind)next_uint(&c),
 			.digest = next_uint(&c),
 			.detail = (uint32_t)next_uint(&c),
 		};
 
-		if (n.kind < CRASH_NEWS_END || n.kind > CRASH_NEWS_QUARANTINE)
+		if (n.kind < CRASH_NOTICE_CRASHED ||
+		    n.kind > CRASH_NOTICE_QUARANTINE)
 			return false;
 		g_array_append_val(out, n);
 	}
@@ -235,13 +248,13 @@
 	while (!c.bad && c.at < c.end && news->n < DRAIN_GOSSIP_MAX) {
 		struct drain_gossip_item *it = &news->items[news->n++];
 
-		next_text(&c, it->id, sizeof(it->id));
+		next_string(&c, it->id, sizeof(it->id));
 		it->born_ms = next_uint(&c);
 	}
 	return !c.bad;
 }
 
-static bool read_call(struct cursor *c, struct gossip_message *m)
+static bool read_grant(struct cursor *c, struct gossip_message *m)
 {
 	m->call.grant = m->kind == GOSSIP_GRANT;
 	m->call.from = (uint32_t)next_uint(c);
@@ -250,14 +263,17 @@
 	return !c->bad;
 }
 
-/* gossip_names_sender() tells whether a message says who sent it in full. */
-bool gossip_names_sender(const struct gossip_message *m)
+/*
+ * Returns whether a message carries the peer_info of its sender, and not only
+ * an id.
+ */
+bool gossip_has_sender_info(const struct gossip_message *m)
 {
 	switch (m->kind) {
 	case GOSSIP_LOAD:
-	case GOSSIP_LIMIT:
-	case GOSSIP_DRAIN:
-	case GOSSIP_WANT:
+	case GOSSIP_LIMITS:
+	case GOSSIP_DRAINING:
+	case GOSSIP_GRANT_REQUEST:
 	case GOSSIP_GRANT:
 		return false;
 	default:
@@ -265,14 +281,14 @@
 	}
 }
 
-/* Reads what stands after the sender. */
-static bool read_backoff(struct cursor *c, struct gossip_message *m)
+/* Reads what follows the sender. */
+static bool read_body(struct cursor *c, struct gossip_message *m)
 {
 	switch (m->kind) {
-	case GOSSIP_BEAT:
-	case GOSSIP_AGAIN:
+	case GOSSIP_HEARTBEAT:
+	case GOSSIP_ROSTER_REQUEST:
 		return true;
-	case GOSSIP_SAME:
+	case GOSSIP_ROSTER_DIGEST:
 		m->digest = (uint32_t)next_uint(c);
 		return !c->bad;
 	case GOSSIP_FEED:
@@ -280,33 +296,33 @@
 	case GOSSIP_LOAD:
 		m->load.peer = (uint32_t)next_uint(c);
 		return read_counts(next(c), &m->load) && !c->bad;
-	case GOSSIP_LIMIT:
+	case GOSSIP_LIMITS:
 		m->limits.peer = (uint32_t)next_uint(c);
 		return read_limits(next(c), &m->limits) && !c->bad;
-	case GOSSIP_DRAIN:
+	case GOSSIP_DRAINING:
 		m->drain.peer = (uint32_t)next_uint(c);
 		return read_draining(next(c), &m->drain) && !c->bad;
-	case GOSSIP_WANT:
+	case GOSSIP_GRANT_REQUEST:
 	case GOSSIP_GRANT:
-		return read_call(c, m);
-	case GOSSIP_ROLL:
-		return read_roll(next(c), &m->roll);
-	case GOSSIP_WHO:
-		m->who = (uint32_t)next_uint(c);
+		return read_grant(c, m);
+	case GOSSIP_ROSTER:
+		return read_roster(next(c), &m->roster);
+	case GOSSIP_INFO_REQUEST:
+		m->info_id = (uint32_t)next_uint(c);
 		return !c->bad;
-	case GOSSIP_PERSON:
-		return read_person(next(c), &m->person);
-	case GOSSIP_CRASH:
+	case GOSSIP_INFO:
+		return read_forwarded_info(next(c), &m->info);
+	case GOSSIP_CRASHES:
 		m->crashes =
-			g_array_new(FALSE, FALSE, sizeof(struct crash_news));
+			g_array_new(FALSE, FALSE, sizeof(struct crash_notice));
 		return read_crashes(next(c), m->crashes);
 	}
 	return false;
 }
 
 /*
- * gossip_read() decodes a datagram. Returns 0, or -EPROTO when it is none of
- * ours; m is to be cleared in both cases.
+ * Decodes a datagram. Returns 0, or -EPROTO if it is invalid; m must be cleared
+ * in both cases.
  */
 int gossip_read(struct lstr bytes, struct gossip_message *m)
 {
@@ -321,16 +337,16 @@
 		struct cursor c = cursor_of(&u.data);
 
 		m->kind = (enum gossip_kind)next_uint(&c);
-		if (gossip_names_sender(m))
+		if (gossip_has_sender_info(m))
 			read_info(&c, &m->sender);
-		if (!c.bad && read_backoff(&c, m))
+		if (!c.bad && read_body(&c, m))
 			rc = 0;
 	}
 	msgpack_unpacked_destroy(&u);
 	return rc;
 }
 
-/* gossip_message_clear() frees what gossip_read() made. */
+/* Frees what gossip_read() allocated. */
 void gossip_message_clear(struct gossip_message *m)
 {
 	if (m->feed.changes)
@@ -339,5 +355,5 @@
 	if (m->crashes)
 		g_array_unref(m->crashes);
 	m->crashes = NULL;
-	roll_clear(&m->roll);
+	roster_clear(&m->roster);
 }
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -12,20 +12,20 @@
 static struct store_endpoint store;
 
 /* The report of a peer that knew the records before `offset` age_ms ago. */
-static struct config_mark mark(uint64_t version, uint64_t offset,
-			       uint32_t age_ms)
+static struct config_progress mark(uint64_t version, uint64_t offset,
+				   uint32_t age_ms)
 {
-	return (struct config_mark){.pos = {store.era, offset},
-				    .age_ms = age_ms,
-				    .version = version,
-				    .digest = (uint32_t)version};
+	return (struct config_progress){.pos = {store.era, offset},
+					.age_ms = age_ms,
+					.version = version,
+					.digest = (uint32_t)version};
 }
 
 static enum config_action receive_mark(struct config_watch *w, uint64_t version,
 				       uint64_t offset, uint32_t age_ms,
 				       int64_t now_ms)
 {
-	struct config_mark m = mark(version, offset, age_ms);
+	struct config_progress m = mark(version, offset, age_ms);
 
 	return config_watch_on_mark(w, &m, now_ms);
 }
@@ -273,7 +273,7 @@
 static void test_version_missing_from_backup(void **state)
 {
 	struct config_watch w;
-	struct config_mark old = mark(21, 9, 10);
+	struct config_progress old = mark(21, 9, 10);
 
 	init(&w, "19", 7);
 	raise_era(&w, 1);
@@ -332,7 +332,7 @@
 /* Of two records with the same version number the later one counts. */
 static void test_same_version_other_content(void **state)
 {
-	struct config_mark m;
+	struct config_progress m;
 	struct config_watch w;
 
 	start(&w);
@@ -357,7 +357,7 @@
 
 static void test_age_unknown_until_confirmed_in_era(void **state)
 {
-	struct config_mark old = mark(5, 10, 10);
+	struct config_progress old = mark(5, 10, 10);
 	struct config_watch w;
 
 	init(&w, "5", 10);
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -52,7 +52,7 @@
 {
 	struct instance *in = priv;
 
-	if (m->kind == GOSSIP_CRASH && !in->unreachable)
+	if (m->kind == GOSSIP_CRASHES && !in->unreachable)
 		crash_watch_add_peer(&in->watch, m->sender.name, m->crashes);
 }
 
@@ -67,14 +67,14 @@
 		peer_channel_tick(&in->channel, now_ms);
 		crash_watch_tick(&in->watch,
 				 peers_rank(&in->channel.peers, now_ms),
-				 hubs_serve(&in->channel.peers));
+				 hubs_enabled(&in->channel.peers));
 	}
 }
 
 static void open_instance(struct system *f, int i)
 {
 	struct instance *in = &f->all[i];
-	struct peer_info self = {.boot = (uint64_t)i + 1, .ready = true};
+	struct peer_info self = {.boot_id = (uint64_t)i + 1, .ready = true};
 	char addr[32];
 
 	snprintf(self.name, sizeof(self.name), "e%02d", i);
@@ -145,10 +145,10 @@
 	g_free(f);
 }
 
-static void report(struct system *f, int i, enum crash_news_kind kind,
+static void report(struct system *f, int i, enum crash_notice_kind kind,
 		   uint64_t digest, uint32_t server)
 {
-	struct crash_news news = {kind, digest, server};
+	struct crash_notice news = {kind, digest, server};
 
 	crash_watch_add_local(&f->all[i].watch, &news);
 }
@@ -170,10 +170,11 @@
 	for (int i = 0; i < 3; i++) {
 		int at = f->n - 1 - i;
 
-		report(f, at, CRASH_NEWS_END, CRASH_DIGEST, 100 + (uint32_t)i);
-		report(f, i, CRASH_NEWS_END, 10 + (uint64_t)i,
+		report(f, at, CRASH_NOTICE_CRASHED, CRASH_DIGEST,
 		       100 + (uint32_t)i);
-		report(f, i, CRASH_NEWS_END, 7, 100 + (uint32_t)(i % 2));
+		report(f, i, CRASH_NOTICE_CRASHED, 10 + (uint64_t)i,
+		       100 + (uint32_t)i);
+		report(f, i, CRASH_NOTICE_CRASHED, 7, 100 + (uint32_t)(i % 2));
 		run_ms(f, 60);
 	}
 }
@@ -204,7 +205,7 @@
 	for (int i = 0; i < f->n; i++)
 		assert_int_equal(
 			g_queue_get_length(&f->all[i].watch.record.pending),
-			i < HUBS ? 1 : 0);
+			i < HUB_COUNT ? 1 : 0);
 	end(f);
 }
 
@@ -213,10 +214,10 @@
 {
 	struct system *f = begin(LARGE);
 
-	assert_true(hubs_serve(&f->all[0].channel.peers));
+	assert_true(hubs_enabled(&f->all[0].channel.peers));
 	three_ends(f);
 	expect_all_refuse(f);
-	report(f, LARGE - 1, CRASH_NEWS_ANSWERED, CRASH_DIGEST, 0);
+	report(f, LARGE - 1, CRASH_NOTICE_ANSWERED, CRASH_DIGEST, 0);
 	wait_for(f, VERDICT_CLEAR, LARGE);
 	end(f);
 }
@@ -246,7 +247,7 @@
 	for (int i = 0; i < f->n; i++)
 		g_array_set_size(f->all[i].watch.broadcasts, 0);
 	assert_int_equal(count(f, VERDICT_REFUSE), SMALL - 1);
-	report(f, 3, CRASH_NEWS_END, CRASH_DIGEST, 555);
+	report(f, 3, CRASH_NOTICE_CRASHED, CRASH_DIGEST, 555);
 	wait_for(f, VERDICT_REFUSE, SMALL);
 	end(f);
 }
@@ -256,14 +257,14 @@
 {
 	struct system *f = begin(SMALL);
 
-	report(f, 0, CRASH_NEWS_END, CRASH_DIGEST, 100);
-	report(f, 1, CRASH_NEWS_END, CRASH_DIGEST, 101);
+	report(f, 0, CRASH_NOTICE_CRASHED, CRASH_DIGEST, 100);
+	report(f, 1, CRASH_NOTICE_CRASHED, CRASH_DIGEST, 101);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
-	report(f, 2, CRASH_NEWS_ANSWERED, CRASH_DIGEST, 0);
+	report(f, 2, CRASH_NOTICE_ANSWERED, CRASH_DIGEST, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
 	/* The answer is repeated for 0.14 s. */
 	run_ms(f, 500);
-	report(f, 0, CRASH_NEWS_END, CRASH_DIGEST, 102);
+	report(f, 0, CRASH_NOTICE_CRASHED, CRASH_DIGEST, 102);
 	wait_for(f, VERDICT_SUSPECT, SMALL);
 	end(f);
 }
@@ -275,13 +276,13 @@
 
 	three_ends(f);
 	expect_all_refuse(f);
-	report(f, SMALL - 1, CRASH_NEWS_ANSWERED, CRASH_DIGEST, 0);
+	report(f, SMALL - 1, CRASH_NOTICE_ANSWERED, CRASH_DIGEST, 0);
 	wait_for(f, VERDICT_CLEAR, SMALL);
 	for (int i = 0; i < SMALL; i++) {
-		const struct crash_news *last =
+		const struct crash_notice *last =
 			g_queue_peek_tail(&f->all[i].watch.record.pending);
 
-		assert_int_equal(last->kind, CRASH_NEWS_ANSWERED);
+		assert_int_equal(last->kind, CRASH_NOTICE_ANSWERED);
 	}
 	end(f);
 }
@@ -292,7 +293,7 @@
 	struct system *f = begin(SMALL);
 
 	for (uint64_t d = 1000; d < 1200; d++)
-		report(f, 0, CRASH_NEWS_END, d, (uint32_t)d);
+		report(f, 0, CRASH_NOTICE_CRASHED, d, (uint32_t)d);
 	for (int i = 0;
 	     i < 100 && !crash_tracker_find(&f->all[3].watch.ledger, 1199); i++)
 		run_ms(f, 50);
@@ -310,7 +311,7 @@
 	for (int i = 0; i < LARGE; i++)
 		f->all[i].unreachable = true;
 	for (uint32_t s = 1; s <= 3; s++)
-		report(f, LARGE - 1, CRASH_NEWS_END, CRASH_DIGEST, s);
+		report(f, LARGE - 1, CRASH_NOTICE_CRASHED, CRASH_DIGEST, s);
 	run_ms(f, 500);
 	assert_int_equal(count(f, VERDICT_REFUSE), 0);
 	assert_int_equal(f->all[LARGE - 1].verdict, VERDICT_SUSPECT);
--- a/tests/test_feeder.c
+++ b/tests/test_feeder.c
@@ -9,8 +9,9 @@
 	assert_int_equal(feeder_target_after_read(false, 0), FEED_ALL);
 	assert_int_equal(feeder_target_after_read(false, 12), FEED_ALL);
 	assert_int_equal(feeder_target_after_read(true, 0), FEED_ALL);
-	assert_int_equal(feeder_target_after_read(true, HUBS - 1), FEED_ALL);
-	assert_int_equal(feeder_target_after_read(true, HUBS), FEED_HUBS);
+	assert_int_equal(feeder_target_after_read(true, HUB_COUNT - 1),
+			 FEED_ALL);
+	assert_int_equal(feeder_target_after_read(true, HUB_COUNT), FEED_HUBS);
 }
 
 /* If the hubs can't read, the first one forwards what it received. */
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -1,6 +1,6 @@
 /*
- * Tests of member/gossip and member/snapshot: what one instance writes another
- * one reads, and nothing else is taken for it.
+ * Tests of member/gossip and member/snapshot: messages survive a round trip,
+ * and truncated or invalid ones are rejected.
  */
 #include "tests/unit.h"
 
@@ -12,6 +12,7 @@
 #include "member/snapshot.h"
 #include "tests/peer_info.h"
 
+/* Adds n changes; every third is a removal. */
 static void fill_changes(GArray *a, int n)
 {
 	for (int i = 0; i < n; i++) {
@@ -32,8 +33,8 @@
 	}
 }
 
-/* No part of a message is taken for one, and nothing is read beyond it. */
-static void refuse_prefixes(const struct buf *b)
+/* Every truncated message is rejected, without reading beyond its end. */
+static void assert_prefixes_rejected(const struct buf *b)
 {
 	struct gossip_message m;
 
@@ -87,10 +88,10 @@
 }
 
 /*
- * Datagrams with bytes changed, by seed: each is refused, or read without
- * harm, with names that end where they should.
+ * Datagrams with random bytes changed: each is rejected, or decoded without
+ * reading out of bounds, with terminated names.
  */
-static void test_mangled_datagrams(void **state)
+static void test_corrupted_datagrams(void **state)
 {
 	struct peer_info self = info("e3", 77);
 	struct backend_feed f = {.from = {2, 90}, .to = {2, 110}, .age_ms = 3};
@@ -116,41 +117,46 @@
 		}
 		g_free(copy);
 	}
-	/* Most changes hit a number or a letter of a name. */
+	/*
+	 * Many changes only hit a number or a letter of a name, so some
+	 * datagrams decode.
+	 */
 	assert_in_range(taken, 1, 19999);
 	g_array_unref(f.changes);
 	buf_free(&b);
 	g_rand_free(rand);
 }
 
-/* News of ends arrive whole; a kind that isn't known makes them unreadable. */
-static void test_crash_news(void **state)
+/* Crash notices survive a round trip; an unknown kind is rejected. */
+static void test_crash_notices(void **state)
 {
 	struct peer_info self = info("e3", 77);
-	struct crash_news news[CRASH_NEWS_MAX + 1], strange = {9, 1, 1};
+	struct crash_notice notices[CRASH_NOTICES_MAX + 1],
+		unknown_kind = {9, 1, 1};
 	struct gossip_message m;
 	struct buf b = {0};
 
-	for (unsigned i = 0; i < G_N_ELEMENTS(news); i++)
-		news[i] = (struct crash_news){CRASH_NEWS_END + i % 3,
+	for (unsigned i = 0; i < G_N_ELEMENTS(notices); i++)
+		notices[i] =
+			(struct crash_notice){CRASH_NOTICE_CRASHED + i % 3,
 					      UINT64_MAX - i, UINT32_MAX - i};
-	gossip_write_crashes(&b, &self, news, CRASH_NEWS_MAX);
+	gossip_write_crashes(&b, &self, notices, CRASH_NOTICES_MAX);
 	assert_true(b.len <= GOSSIP_MAX);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_CRASH);
-	assert_int_equal(m.crashes->len, CRASH_NEWS_MAX);
-	for (unsigned i = 0; i < CRASH_NEWS_MAX; i++) {
-		const struct crash_news *n =
-			&g_array_index(m.crashes, struct crash_news, i);
-
-		assert_int_equal(n->kind, news[i].kind);
-		assert_true(n->digest == news[i].digest);
-		assert_int_equal(n->detail, news[i].detail);
+	assert_int_equal(m.kind, GOSSIP_CRASHES);
+	assert_int_equal(m.crashes->len, CRASH_NOTICES_MAX);
+	for (unsigned i = 0; i < CRASH_NOTICES_MAX; i++) {
+		const struct crash_notice *n =
+			&g_array_index(m.crashes, struct crash_notice, i);
+
+		assert_int_equal(n->kind, notices[i].kind);
+		assert_true(n->digest == notices[i].digest);
+		assert_int_equal(n->detail, notices[i].detail);
 	}
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
-	gossip_write_crashes(&b, &self, &strange, 1);
+	gossip_write_crashes(&b, &self, &unknown_kind, 1);
 	assert_int_not_equal(gossip_read(buf_lstr(&b), &m), 0);
 	gossip_message_clear(&m);
 	buf_free(&b);
@@ -159,8 +165,10 @@
 static void test_round_trip(void **state)
 {
 	struct peer_info self = info("e3", 77);
-	struct backend_feed f = {
-		.from = {2, 90}, .to = {2, 110}, .age_ms = 3, .settle_ms = 4};
+	struct backend_feed f = {.from = {2, 90},
+				 .to = {2, 110},
+				 .age_ms = 3,
+				 .removal_delay_ms = 4};
 	struct gossip_message m;
 	struct buf b = {0};
 
@@ -170,8 +178,8 @@
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_FEED);
 	assert_memory_equal(&m.sender.addr, &self.addr, sizeof(self.addr));
-	assert_string_equal(m.sender.callers, self.callers);
-	assert_int_equal(m.sender.boot, 77);
+	assert_string_equal(m.sender.caller_addr, self.caller_addr);
+	assert_int_equal(m.sender.boot_id, 77);
 	assert_int_equal(m.sender.store_era, 3);
 	assert_int_equal(m.sender.records_era, 2);
 	assert_int_equal(m.sender.config.pos.era, 3);
@@ -190,38 +198,41 @@
 			&g_array_index(f.changes, struct backend_change, i),
 			sizeof(struct backend_change));
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 	g_array_unref(f.changes);
 }
 
-/* A roll of 1,000 in parts that fit a datagram each, and who somebody is. */
+/*
+ * A roster of 1,000 entries in parts that fit a datagram each, and the other
+ * messages about the roster.
+ */
 static void test_roll_round_trip(void **state)
 {
 	struct peer_info self = info("e3", 77), other = info("e4", 78);
 	struct gossip_message m;
 	struct buf b = {0};
-	struct roll r;
+	struct roster r;
 	guint at = 0, seen = 0;
 	uint32_t next = 0;
 
-	roll_init(&r);
+	roster_init(&r);
 	for (uint32_t i = 0; i < 1000; i++) {
-		struct roll_entry e = {1000 + i * 7, i % 3 != 0};
+		struct roster_entry e = {1000 + i * 7, i % 3 != 0};
 
 		g_array_append_val(r.entries, e);
 	}
 	while (at < 1000) {
 		b.len = 0;
-		at = gossip_write_roll(&b, &self, &r, at);
+		at = gossip_write_roster(&b, &self, &r, at);
 		assert_true(b.len <= GOSSIP_MAX);
 		assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-		assert_int_equal(m.kind, GOSSIP_ROLL);
-		assert_int_equal(m.roll.lo, next);
-		next = m.roll.hi + 1;
-		for (guint i = 0; i < m.roll.entries->len; i++, seen++) {
-			struct roll_entry e = g_array_index(
-				m.roll.entries, struct roll_entry, i);
+		assert_int_equal(m.kind, GOSSIP_ROSTER);
+		assert_int_equal(m.roster.lo, next);
+		next = m.roster.hi + 1;
+		for (guint i = 0; i < m.roster.entries->len; i++, seen++) {
+			struct roster_entry e = g_array_index(
+				m.roster.entries, struct roster_entry, i);
 
 			assert_int_equal(e.ready, (e.id - 1000) / 7 % 3 != 0);
 		}
@@ -229,36 +240,36 @@
 	}
 	assert_int_equal(seen, 1000);
 	assert_int_equal(next, 0);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
-	gossip_write_who(&b, &self, 4711);
+	gossip_write_info_request(&b, &self, 4711);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.who, 4711);
+	assert_int_equal(m.info_id, 4711);
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
-	gossip_write_same(&b, &self, 99);
+	gossip_write_roster_digest(&b, &self, 99);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_SAME);
+	assert_int_equal(m.kind, GOSSIP_ROSTER_DIGEST);
 	assert_int_equal(m.digest, 99);
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
-	gossip_write_again(&b, &self);
+	gossip_write_roster_request(&b, &self);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_AGAIN);
+	assert_int_equal(m.kind, GOSSIP_ROSTER_REQUEST);
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	b.len = 0;
-	gossip_write_person(&b, &self, &other);
+	gossip_write_info(&b, &self, &other);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_string_equal(m.sender.name, "e3");
-	assert_string_equal(m.person.name, "e4");
-	assert_string_equal(m.person.callers, other.callers);
+	assert_string_equal(m.info.name, "e4");
+	assert_string_equal(m.info.caller_addr, other.caller_addr);
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
-	roll_clear(&r);
+	roster_clear(&r);
 }
 
 static void test_load_round_trip(void **state)
@@ -269,16 +280,19 @@
 	struct buf b = {0};
 
 	gossip_write_load(&b, &l);
-	/* Told some twenty times a second to each: it was 104 bytes here. */
+	/*
+	 * Sent about twenty times a second to each peer. With the sender's full
+	 * info it was 104 bytes.
+	 */
 	assert_true(b.len <= 25);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
 	assert_int_equal(m.kind, GOSSIP_LOAD);
-	assert_false(gossip_names_sender(&m));
+	assert_false(gossip_has_sender_info(&m));
 	assert_int_equal(m.load.peer, peer_id("e3"));
 	assert_int_equal(m.load.n, 2);
 	assert_memory_equal(m.load.items, l.items, 2 * sizeof(*l.items));
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 }
 
@@ -295,8 +309,8 @@
 	gossip_write_limits(&b, &l);
 	assert_true(b.len <= GOSSIP_MAX);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_LIMIT);
-	assert_false(gossip_names_sender(&m));
+	assert_int_equal(m.kind, GOSSIP_LIMITS);
+	assert_false(gossip_has_sender_info(&m));
 	assert_int_equal(m.limits.peer, peer_id("e3"));
 	assert_int_equal(m.limits.n, LIMIT_GOSSIP_MAX);
 	for (unsigned i = 0; i < LIMIT_GOSSIP_MAX; i++) {
@@ -310,11 +324,11 @@
 				 l.items[i].received_ago_ms);
 	}
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 }
 
-static void test_call_round_trip(void **state)
+static void test_grant_round_trip(void **state)
 {
 	struct limit_borrow_msg l = {
 		.from = peer_id("e3"), .resource = 9, .serial = 11};
@@ -324,22 +338,23 @@
 		struct buf b = {0};
 
 		l.grant = grant;
-		gossip_write_call(&b, &l);
+		gossip_write_grant(&b, &l);
 		assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-		assert_int_equal(m.kind, grant ? GOSSIP_GRANT : GOSSIP_WANT);
-		assert_false(gossip_names_sender(&m));
+		assert_int_equal(m.kind,
+				 grant ? GOSSIP_GRANT : GOSSIP_GRANT_REQUEST);
+		assert_false(gossip_has_sender_info(&m));
 		assert_int_equal(m.call.grant, grant);
 		assert_int_equal(m.call.from, peer_id("e3"));
 		assert_int_equal(m.call.resource, 9);
 		assert_int_equal(m.call.serial, 11);
 		gossip_message_clear(&m);
-		refuse_prefixes(&b);
+		assert_prefixes_rejected(&b);
 		buf_free(&b);
 	}
 }
 
-/* What is no limit is refused, whoever sends it. */
-static void test_leaving_round_trip(void **state)
+/* A full drain message fits a datagram and survives a round trip. */
+static void test_draining_round_trip(void **state)
 {
 	struct drain_gossip l = {.peer = peer_id("e3"), .n = DRAIN_GOSSIP_MAX};
 	struct gossip_message m;
@@ -352,8 +367,8 @@
 	gossip_write_drain(&b, &l);
 	assert_true(b.len <= GOSSIP_MAX);
 	assert_int_equal(gossip_read(buf_lstr(&b), &m), 0);
-	assert_int_equal(m.kind, GOSSIP_DRAIN);
-	assert_false(gossip_names_sender(&m));
+	assert_int_equal(m.kind, GOSSIP_DRAINING);
+	assert_false(gossip_has_sender_info(&m));
 	assert_int_equal(m.drain.peer, peer_id("e3"));
 	assert_int_equal(m.drain.n, DRAIN_GOSSIP_MAX);
 	for (unsigned i = 0; i < DRAIN_GOSSIP_MAX; i++) {
@@ -361,11 +376,12 @@
 		assert_true(m.drain.items[i].born_ms == l.items[i].born_ms);
 	}
 	gossip_message_clear(&m);
-	refuse_prefixes(&b);
+	assert_prefixes_rejected(&b);
 	buf_free(&b);
 }
 
-static void test_limits_that_are_none(void **state)
+/* Negative, infinite and NaN limits are rejected. */
+static void test_invalid_limits_rejected(void **state)
 {
 	static const double bad[] = {-1, NAN, INFINITY};
 	struct limit_gossip l = {.peer = 1, .n = 1};
@@ -382,7 +398,10 @@
 	}
 }
 
-/* Many changes known to all: the newest fit, and it says what it covers. */
+/*
+ * Changes that all peers know already: the newest that fit one datagram are
+ * repeated, with the positions that they cover.
+ */
 static void test_feed_fits(void **state)
 {
 	struct peer_info self = info("e3", 77);
@@ -393,7 +412,7 @@
 
 	f.changes = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 	fill_changes(f.changes, 200);
-	begin = gossip_feed_begin(&f, (struct store_position){2, 400}, 1000);
+	begin = gossip_feed_first(&f, (struct store_position){2, 400}, 1000);
 	assert_true(begin > 0);
 	assert_int_equal(gossip_write_feed(&b, &self, &f, begin), 200);
 	assert_true(b.len <= GOSSIP_MAX);
@@ -410,10 +429,11 @@
 }
 
 /*
- * Many new changes at once, as when many servers start: they come in as many
- * datagrams as they need, without a gap, and only the last tells the age.
+ * Many new changes at once, as when many servers start: they are split over as
+ * many datagrams as needed, without a gap, and only the last one carries the
+ * age.
  */
-static void test_feed_in_parts(void **state)
+static void test_feed_split_over_datagrams(void **state)
 {
 	struct peer_info self = info("e3", 77);
 	struct backend_feed f = {.from = {2, 90}, .to = {2, 400}, .age_ms = 3};
@@ -426,7 +446,7 @@
 	fill_changes(f.changes, 200);
 	next = g_array_index(f.changes, struct backend_change, 49).pos.offset +
 	       1;
-	at = gossip_feed_begin(&f, (struct store_position){2, next}, 1000);
+	at = gossip_feed_first(&f, (struct store_position){2, next}, 1000);
 	assert_int_equal(at, 50);
 	while (at < 200) {
 		b.len = 0;
@@ -439,8 +459,8 @@
 		gossip_message_clear(&m);
 	}
 	assert_int_equal(next, 400);
-	/* More than may be sent: the newest of it. */
-	at = gossip_feed_begin(&f, (struct store_position){2, 0}, 24);
+	/* Limited by changes_max: only the newest. */
+	at = gossip_feed_first(&f, (struct store_position){2, 0}, 24);
 	assert_int_equal(at, 200 - 24);
 	b.len = 0;
 	gossip_write_feed(&b, &self, &f, at);
@@ -459,16 +479,16 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_snapshot),
 		cmocka_unit_test(test_round_trip),
-		cmocka_unit_test(test_mangled_datagrams),
-		cmocka_unit_test(test_crash_news),
+		cmocka_unit_test(test_corrupted_datagrams),
+		cmocka_unit_test(test_crash_notices),
 		cmocka_unit_test(test_load_round_trip),
 		cmocka_unit_test(test_limits_round_trip),
-		cmocka_unit_test(test_leaving_round_trip),
-		cmocka_unit_test(test_limits_that_are_none),
-		cmocka_unit_test(test_call_round_trip),
+		cmocka_unit_test(test_draining_round_trip),
+		cmocka_unit_test(test_invalid_limits_rejected),
+		cmocka_unit_test(test_grant_round_trip),
 		cmocka_unit_test(test_roll_round_trip),
 		cmocka_unit_test(test_feed_fits),
-		cmocka_unit_test(test_feed_in_parts),
+		cmocka_unit_test(test_feed_split_over_datagrams),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- /dev/null
+++ b/traffic/crash_check.c
@@ -0,0 +1,280 @@
+#include <errno.h>
+
+#include "common/event.h"
+#include "core/availability.h"
+#include "core/mechanisms.h"
+#include "misc/clock.h"
+#include "platform/exchange.h"
+#include "traffic/crash_check.h"
+#include "traffic/feedback.h"
+
+/*
+ * If the process has ended, connections are refused within a round trip; if it
+ * lives, it responds to the probe within another one. Slower results are
+ * inconclusive.
+ */
+static const double CONNECT_TIMEOUT_S = 0.1;
+static const double RESPONSE_TIMEOUT_S = 0.1;
+
+enum {
+	HEAD_MAX = 16 * 1024, /* bytes of a response */
+	BODY_MAX = 64 * 1024,
+	/*
+	 * If a proxy accepts connections for an ended server, or its machine
+	 * does not respond, the probe is repeated after 0.1 s, 0.2 s and so on,
+	 * for 3 s in total, until the server is back or off the list.
+	 */
+	RETRY_MS = 100,
+	PROBES_MAX = 6,
+};
+
+/*
+ * A check of one server, shared by all requests whose connections to it break
+ * meanwhile.
+ */
+struct crash_check {
+	struct traffic *traffic;
+	struct backend *backend;
+	struct http_client http;
+	ev_timer retry_timer;
+	unsigned probes;
+	GArray *digests; /* uint64_t */
+	int64_t since_ms;
+};
+
+/* Passes a notice to the control thread, which sends it to peers. */
+static void send_notice(struct traffic *t, enum crash_notice_kind kind,
+			uint64_t digest, uint32_t detail)
+{
+	struct crash_notice *notice = g_new(struct crash_notice, 1);
+
+	*notice = (struct crash_notice){kind, digest, detail};
+	/* If the queue is full it is lost, as a datagram may be. */
+	if (mailbox_send(t->control, FROM_TRAFFIC_CRASH, notice))
+		g_free(notice);
+}
+
+/*
+ * Reports that a server ended during a request, unless the request was answered
+ * recently.
+ */
+static void report_crash(struct traffic *t, const struct backend *b,
+			 uint64_t digest)
+{
+	if (!quarantine_take_answer(&t->quarantine, digest))
+		send_notice(t, CRASH_NOTICE_CRASHED, digest,
+			    backend_start_hash(&b->entry));
+}
+
+static void log_end(const struct backend *b, unsigned requests,
+		    const char *outcome, const char *why, int64_t ms)
+{
+	mp_event(EV_BACKEND_ENDED, G_LOG_LEVEL_MESSAGE,
+		 "backend=%s service=%s outcome=%s why=%s requests=%u "
+		 "ms=%" G_GINT64_FORMAT,
+		 b->entry.id, b->service->name, outcome, why, requests, ms);
+}
+
+/* Ends the check with its result and frees it. */
+static void finish(struct crash_check *c, bool ended, const char *outcome,
+		   const char *why)
+{
+	struct traffic *t = c->traffic;
+	struct backend *b = c->backend;
+
+	ev_timer_stop(t->loop, &c->retry_timer);
+	http_client_close(&c->http);
+	b->ended = b->ended || ended;
+	log_end(b, c->digests->len, outcome, why, clock_ms() - c->since_ms);
+	t->counters.ends_seen += ended;
+	for (guint i = 0; ended && i < c->digests->len; i++)
+		report_crash(t, b, g_array_index(c->digests, uint64_t, i));
+	b->check = NULL;
+	g_array_unref(c->digests);
+	backend_unref(b);
+	g_free(c);
+}
+
+/* Probes are requests too, so a server that backs off must not get any. */
+static bool is_backing_off(const struct backend *b)
+{
+	return backend_is_backing_off(b, clock_ms());
+}
+
+/*
+ * Handles an inconclusive probe: retries, or gives up. A server that has
+ * meanwhile left the list, after a broken connection and no response since, has
+ * ended.
+ */
+static void retry_or_give_up(struct crash_check *c, const char *why)
+{
+	http_client_close(&c->http);
+	if (c->backend->gone) {
+		finish(c, true, "ended", "off the list");
+		return;
+	}
+	if (c->probes >= PROBES_MAX || is_backing_off(c->backend)) {
+		finish(c, false, "unknown", why);
+		return;
+	}
+	ev_timer_set(&c->retry_timer, (RETRY_MS << (c->probes - 1)) / 1000.0,
+		     0);
+	ev_timer_start(c->traffic->loop, &c->retry_timer);
+}
+
+static enum http_verdict judge(void *priv, const struct http_message *m)
+{
+	return HTTP_TAKE;
+}
+
+/* Compares the server that the response names with the one that was probed. */
+static void on_response(void *priv, struct http_message *m)
+{
+	struct crash_check *c = priv;
+	struct answer_info info;
+	bool named, same;
+
+	exchange_read_answer(m, &info);
+	named = info.backend.ptr != NULL;
+	same = named && lstr_eq(info.backend, lstr0(c->backend->entry.id));
+	feedback_apply(c->traffic, c->backend,
+		       &(struct feedback){.info = info});
+	http_message_free(m);
+	if (same)
+		finish(c, false, "lives", "answered");
+	else if (named)
+		finish(c, true, "ended", "another start answers");
+	else
+		retry_or_give_up(c, "an answer without a name");
+}
+
+/*
+ * Of all failures only a refused connection proves that the process has ended.
+ */
+static void on_failed(void *priv, int err, bool sent)
+{
+	if (err == -ECONNREFUSED)
+		finish(priv, true, "ended", g_strerror(-err));
+	else
+		retry_or_give_up(priv, g_strerror(-err));
+}
+
+static bool may_send(void *priv)
+{
+	const struct crash_check *c = priv;
+
+	return !is_backing_off(c->backend);
+}
+
+static const struct http_client_ops ops = {.judge = judge,
+					   .response = on_response,
+					   .failed = on_failed,
+					   .may_send = may_send};
+
+/* Sends a probe on a new connection. Returns 0 or a negative errno. */
+static int send_probe(struct crash_check *c)
+{
+	struct http_limits limits = {.head_max = HEAD_MAX,
+				     .body_max = BODY_MAX};
+	struct traffic *t = c->traffic;
+	const struct service_config *sc =
+		t->config ? config_service(t->config,
+					   lstr0(c->backend->service->name))
+			  : NULL;
+	struct buf request = {0};
+	int rc = http_client_open(&c->http, t->loop, &c->backend->entry.addr,
+				  CONNECT_TIMEOUT_S, limits, &ops, c);
+
+	c->probes++;
+	if (rc)
+		return rc;
+	exchange_write_probe(&request, sc ? sc->health_path : LSTR("/"),
+			     c->backend, t->via);
+	http_client_send(&c->http, buf_lstr(&request), RESPONSE_TIMEOUT_S,
+			 false);
+	buf_free(&request);
+	t->counters.end_checks++;
+	return 0;
+}
+
+/*
+ * Returns whether a probe may be sent now; if so it is charged to the ask
+ * budget.
+ */
+static bool take_probe_budget(struct traffic *t)
+{
+	return probe_budget_take(&t->asks, &t->probe_rate, traffic_servers(t),
+				 1, 1, clock_ms()) == 1;
+}
+
+static void on_retry(struct ev_loop *loop, ev_timer *timer, int revents)
+{
+	struct crash_check *c = timer->data;
+	bool skip = c->backend->gone || is_backing_off(c->backend) ||
+		    !take_probe_budget(c->traffic);
+	int rc = skip ? -EBUSY : send_probe(c);
+
+	if (rc)
+		retry_or_give_up(c, g_strerror(-rc));
+}
+
+/*
+ * Starts a check. Returns NULL if no probe is allowed now or no socket is
+ * available.
+ */
+static struct crash_check *start_check(struct traffic *t, struct backend *b)
+{
+	struct crash_check *c;
+
+	if (is_backing_off(b) || !take_probe_budget(t))
+		return NULL;
+	c = g_new0(struct crash_check, 1);
+	c->traffic = t;
+	c->backend = b;
+	c->since_ms = clock_ms();
+	ev_init(&c->retry_timer, on_retry);
+	c->retry_timer.data = c;
+	if (send_probe(c)) {
+		g_free(c);
+		return NULL;
+	}
+	backend_ref(b);
+	c->digests = g_array_new(FALSE, FALSE, sizeof(uint64_t));
+	return c;
+}
+
+/*
+ * Called when a connection to b broke during a request. The end of a server
+ * that drains or is off the list is planned, so it is not checked.
+ */
+void crash_check_begin(struct traffic *t, struct backend *b, uint64_t digest)
+{
+	struct crash_check *c = b->check;
+
+	if (!mechanisms.quarantine || backend_is_draining(b))
+		return;
+	if (b->ended) {
+		report_crash(t, b, digest);
+		return;
+	}
+	if (b->gone)
+		return;
+	if (!c)
+		c = b->check = start_check(t, b);
+	if (!c) {
+		log_end(b, 1, "unknown", "it can't be asked", 0);
+		return;
+	}
+	g_array_append_val(c->digests, digest);
+}
+
+/*
+ * Called when a server has run a request and lives. If the request is under
+ * suspicion, the other instances are informed.
+ */
+void crash_check_answered(struct traffic *t, uint64_t digest)
+{
+	quarantine_note_answer(&t->quarantine, digest);
+	if (quarantine_kind(&t->quarantine, digest) != VERDICT_CLEAR)
+		send_notice(t, CRASH_NOTICE_ANSWERED, digest, 0);
+}
--- /dev/null
+++ b/traffic/drain_gossip.c
@@ -0,0 +1,143 @@
+#include "common/event.h"
+#include "misc/clock.h"
+#include "traffic/drain_gossip.h"
+
+enum {
+	ANNOUNCEMENTS = 3, /* repeated, since datagrams may be lost */
+	RESEND_MS = 1000,
+	/*
+	 * A new peer needs the news from one instance only: each waits for a
+	 * random time up to this, and skips its turn if another one was first.
+	 */
+	NEW_PEER_JITTER_MS = 1000,
+	TICK_MS = 100,
+};
+
+/*
+ * Logs that a server drains; `by` says who announced it. b is its entry, or
+ * NULL.
+ */
+static void log_draining(const struct server_state *s, const char *by,
+			 const struct backend *b)
+{
+	mp_event(EV_BACKEND_DRAINING, G_LOG_LEVEL_MESSAGE,
+		 "backend=%s service=%s by=%s listed=%d listed_as_draining=%d "
+		 "in_flight=%u",
+		 s->id, b ? b->service->name : "-", by, b != NULL,
+		 b && b->entry.draining, b ? b->in_flight : 0);
+}
+
+/* Starts the timer unless it is running. */
+static void start_timer(struct traffic *t)
+{
+	if (ev_is_active(&t->drain_timer))
+		return;
+	ev_timer_set(&t->drain_timer, TICK_MS / 1000.0, 0);
+	ev_timer_start(t->loop, &t->drain_timer);
+}
+
+/* Sends the announcements that are due. Returns whether more will follow. */
+static bool send_due(struct traffic *t, int64_t now_ms)
+{
+	struct drain_gossip news = {.n = 0};
+	struct drain_gossip *copy;
+	bool more = false;
+	GHashTableIter it;
+	gpointer v;
+
+	g_hash_table_iter_init(&it, t->backends.states.all);
+	while (g_hash_table_iter_next(&it, NULL, &v)) {
+		struct server_state *s = v;
+		struct drain_gossip_item *item;
+
+		if (!s->drain_tells)
+			continue;
+		if (news.n == DRAIN_GOSSIP_MAX || now_ms < s->drain_tell_ms) {
+			more = true;
+			continue;
+		}
+		item = &news.items[news.n++];
+		g_strlcpy(item->id, s->id, sizeof(item->id));
+		item->born_ms = s->born_ms;
+		s->drain_tells--;
+		s->drain_tell_ms = now_ms + RESEND_MS;
+		more = more || s->drain_tells;
+	}
+	if (!news.n)
+		return more;
+	copy = g_memdup2(&news, sizeof(news));
+	/* If the queue is full it is lost, as a datagram may be. */
+	if (mailbox_send(t->control, FROM_TRAFFIC_DRAIN, copy))
+		g_free(copy);
+	return more;
+}
+
+static void on_tick(struct ev_loop *loop, ev_timer *timer, int revents)
+{
+	struct traffic *t = timer->data;
+
+	if (send_due(t, clock_ms()))
+		start_timer(t);
+}
+
+/* Initializes the timer. */
+void drain_gossip_init(struct traffic *t)
+{
+	ev_init(&t->drain_timer, on_tick);
+	t->drain_timer.data = t;
+}
+
+/* Handles an announcement in a response of b. */
+void drain_gossip_announced(struct traffic *t, struct backend *b)
+{
+	struct server_state *s = b->state;
+
+	if (s->draining)
+		return;
+	s->draining = true;
+	s->drain_tells = ANNOUNCEMENTS;
+	s->drain_tell_ms = 0;
+	log_draining(s, "answer", b);
+	if (send_due(t, clock_ms()))
+		start_timer(t);
+}
+
+/* Handles announcements that a peer has passed on. */
+void drain_gossip_received(struct traffic *t, const struct drain_gossip *news)
+{
+	for (unsigned i = 0; i < news->n; i++) {
+		const struct drain_gossip_item *it = &news->items[i];
+		struct server_state *s = server_state_get(&t->backends.states,
+							  it->id, it->born_ms);
+		const struct backend *b =
+			g_hash_table_lookup(t->backends.by_id, it->id);
+
+		if (!s->draining)
+			log_draining(s, "peer", b && b->state == s ? b : NULL);
+		s->draining = true;
+		if (s->drain_tells)
+			s->drain_tells--;
+		server_state_release(s);
+	}
+}
+
+/* Announces the listed servers that drain to new peers. */
+void drain_gossip_peers_changed(struct traffic *t)
+{
+	int64_t now_ms = clock_ms();
+	GHashTableIter it;
+	gpointer v;
+
+	g_hash_table_iter_init(&it, t->backends.by_id);
+	while (g_hash_table_iter_next(&it, NULL, &v)) {
+		struct server_state *s = ((struct backend *)v)->state;
+
+		if (!s->draining || s->drain_tells)
+			continue;
+		s->drain_tells = 1;
+		s->drain_tell_ms =
+			now_ms +
+			g_rand_int_range(t->rand, 0, NEW_PEER_JITTER_MS);
+		start_timer(t);
+	}
+}
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -1,12 +1,15 @@
 #include "common/event.h"
 #include "misc/clock.h"
-#include "traffic/drain_news.h"
+#include "traffic/drain_gossip.h"
 #include "traffic/feedback.h"
 #include "traffic/limits.h"
 
-enum { TEXT_MAX = 64 }; /* bytes of a value that are logged */
+enum { TEXT_MAX = 64 }; /* logged bytes of a value */
 
-/* An invalid value is ignored, and logged once until a valid one follows. */
+/*
+ * Counts an invalid value, which is ignored. Logged once until a valid one
+ * follows.
+ */
 static void log_invalid(struct traffic *t, const struct backend *b,
 			const char *field, struct lstr text)
 {
@@ -20,6 +23,7 @@
 		 text.ptr);
 }
 
+/* Starts the backoff that b asked for. */
 static void back_off(struct traffic *t, struct backend *b, double backoff_s)
 {
 	struct server_state *s = b->state;
@@ -30,7 +34,10 @@
 	if (!server_state_back_off(s, backoff_s, g_rand_double(t->rand),
 				   now_ms))
 		return;
-	/* A load report from before the backoff must not look like room after it. */
+	/*
+	 * A load report from before the backoff must not look like free
+	 * capacity after it.
+	 */
 	b->load = (struct load_report){.slots = b->load.slots};
 	mp_event(EV_BACKOFF, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s backoff_s=%g "
@@ -41,7 +48,10 @@
 		 b->in_flight);
 }
 
-/* Another start may answer at the same address. */
+/*
+ * Returns whether the response is from b; another start of the server may
+ * respond at the same address.
+ */
 static bool is_from(const struct backend *b, const struct answer_info *info)
 {
 	if (info->misdirected)
@@ -49,20 +59,23 @@
 	return !info->backend.ptr || lstr_eq(info->backend, lstr0(b->entry.id));
 }
 
-/* It isn't known when an unsolicited response was asked for: it can't end a limit. */
+/*
+ * Applies the limit that the response sets or does not set. It is unknown when
+ * an unsolicited response was requested, so it cannot end a limit.
+ */
 static void apply_limit(struct traffic *t, struct backend *b,
 			const struct feedback *f)
 {
-	bool own = f->info.sealed || f->info.not_run || f->question;
+	bool own = f->info.sealed || f->info.not_run || f->probe;
 
-	if (f->awaited && own)
-		limits_answer(t, b, &f->info, f->sent_ms,
-			      f->question ? LIMIT_BY_PROBE : LIMIT_BY_RESPONSE);
-	else if (!f->awaited && f->info.limit == LIMIT_NAMED)
-		limits_answer(t, b, &f->info, 0, LIMIT_BY_RESPONSE);
+	if (f->solicited && own)
+		limits_response(t, b, &f->info, f->sent_ms,
+				f->probe ? LIMIT_BY_PROBE : LIMIT_BY_RESPONSE);
+	else if (!f->solicited && f->info.limit == LIMIT_NAMED)
+		limits_response(t, b, &f->info, 0, LIMIT_BY_RESPONSE);
 }
 
-/* feedback_apply() takes in a response from b's address. */
+/* Applies a response received from b's address. */
 void feedback_apply(struct traffic *t, struct backend *b,
 		    const struct feedback *f)
 {
@@ -78,5 +91,5 @@
 	if (info->draining == DRAINING_INVALID)
 		log_invalid(t, b, "draining", info->draining_text);
 	else if (info->draining == DRAINING_SET)
-		drain_news_announced(t, b);
+		drain_gossip_announced(t, b);
 }
--- a/traffic/limits.h
+++ b/traffic/limits.h
@@ -1,6 +1,6 @@
 /*
- * The limits that backend servers name, on the traffic thread: taken in from
- * their answers and from peers, passed on, and told in the log.
+ * The limits that backend servers set, on the traffic thread: taken from
+ * responses and from peers, passed on to peers, and logged.
  */
 #ifndef MP_TRAFFIC_LIMITS_H
 #define MP_TRAFFIC_LIMITS_H
@@ -10,10 +10,10 @@
 
 void limits_init(struct traffic *t);
 struct backend *limits_find(struct traffic *t, uint32_t start);
-void limits_answer(struct traffic *t, struct backend *b,
-		   const struct answer_info *info, int64_t asked_ms,
-		   enum limit_source source);
-void limits_told(struct traffic *t, const struct limit_gossip *news);
+void limits_response(struct traffic *t, struct backend *b,
+		     const struct answer_info *info, int64_t asked_ms,
+		     enum limit_source source);
+void limits_peer_update(struct traffic *t, const struct limit_gossip *news);
 void limits_peers_changed(struct traffic *t);
 void limits_listed(struct traffic *t, const char *id);
 
