--- a/app/instance.c
+++ b/app/instance.c
@@ -56,7 +56,8 @@
 	rc = mp_log_set_level(s->log_level);
 	if (rc)
 		return rc;
-	rc = control_init(&control, s, settings_source, &source, &traffic.in);
+	rc = control_init(&control, s, settings_source, &source,
+			  &traffic.inbox);
 	if (!rc)
 		rc = traffic_init(&traffic, s, own, &control.view, &control.in);
 	if (rc)
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -50,17 +50,18 @@
 	char id[BACKEND_NAME_MAX];
 	enum script script;
 	int work_ms;
-	unsigned busy; /* slots taken by others, as it reports */
+	unsigned busy_slots; /* slots taken by others, as it reports */
 	unsigned running, received, connections;
 	bool tells_load, dead;
-	bool mute; /* questions for its health are reset, as by a relay */
-	bool ill;  /* its health answer is 503, without a load */
+	bool reset_probes; /* questions for its health are reset, as by a relay */
+	bool unhealthy;	   /* its health answer is 503, without a load */
 	const char *limit; /* that its answers name; NULL: none */
-	const char *says;  /* more header lines of its answers; NULL: none */
-	const char *tail;  /* bytes behind each answer; NULL: none */
-	int tail_ms;	   /* they come so much later; 0: at once */
-	const char *says_asked; /* and of those to questions */
-	unsigned asked;		/* questions so far */
+	const char *
+		extra_headers; /* more header lines of its answers; NULL: none */
+	const char *tail;      /* bytes behind each answer; NULL: none */
+	int tail_ms;	       /* they come so much later; 0: at once */
+	const char *probe_headers; /* and of those to questions */
+	unsigned probes;	   /* questions so far */
 };
 
 /* A request at a server. */
@@ -80,7 +81,7 @@
 	unsigned status;
 	double retry_after;
 	char body[64];
-	bool open, left;
+	bool open, disconnected;
 };
 
 struct bench {
@@ -91,7 +92,7 @@
 	struct control_view view;
 	struct server servers[BENCH_SERVERS];
 	int n;
-	GHashTable *ran; /* id -> count */
+	GHashTable *executions; /* id -> count */
 	GPtrArray *callers;
 	unsigned ids;
 	struct caller *until;
@@ -103,21 +104,22 @@
 	char headers[256];
 
 	snprintf(headers, sizeof(headers), "Not-Executed: 1\r\n%s",
-		 s->says ? s->says : "");
+		 s->extra_headers ? s->extra_headers : "");
 	http_conn_reply(c, &(struct http_reply){.status = 503,
 						.headers = lstr0(headers)});
 }
 
 /* Bytes that come a while after an answer, whatever becomes of its connection. */
-struct late_bytes {
+struct delayed_bytes {
 	ev_timer timer;
 	int fd;
 	struct buf bytes;
 };
 
-static inline void on_late_bytes(struct ev_loop *loop, ev_timer *t, int revents)
+static inline void on_delayed_bytes(struct ev_loop *loop, ev_timer *t,
+				    int revents)
 {
-	struct late_bytes *l = t->data;
+	struct delayed_bytes *l = t->data;
 
 	ev_timer_stop(loop, t);
 	(void)!send(l->fd, l->bytes.ptr, l->bytes.len, MSG_NOSIGNAL);
@@ -126,13 +128,14 @@
 	g_free(l);
 }
 
-static inline void send_late(struct bench *b, int fd, struct lstr bytes, int ms)
+static inline void send_delayed(struct bench *b, int fd, struct lstr bytes,
+				int ms)
 {
-	struct late_bytes *l = g_new0(struct late_bytes, 1);
+	struct delayed_bytes *l = g_new0(struct delayed_bytes, 1);
 
 	l->fd = dup(fd);
 	buf_add_lstr(&l->bytes, bytes);
-	ev_timer_init(&l->timer, on_late_bytes, ms / 1000.0, 0);
+	ev_timer_init(&l->timer, on_delayed_bytes, ms / 1000.0, 0);
 	l->timer.data = l;
 	ev_timer_start(b->loop, &l->timer);
 }
@@ -148,7 +151,7 @@
 	snprintf(body, sizeof(body), "body of %s", j->id);
 	if (s->tells_load)
 		snprintf(load, sizeof(load), "Server-Load: %u,0,2,100\r\n",
-			 s->busy + s->running);
+			 s->busy_slots + s->running);
 	if (s->limit)
 		snprintf(limit, sizeof(limit), "Server-Limit: %s\r\n",
 			 s->limit);
@@ -158,7 +161,8 @@
 		     error ? 500 : 200, j->id,
 		     s->script == SCRIPT_UNSEALED ? ""
 						  : "Response-Seal: x.1\r\n",
-		     load, limit, s->says ? s->says : "", strlen(body), body);
+		     load, limit, s->extra_headers ? s->extra_headers : "",
+		     strlen(body), body);
 	http_conn_set_user(c, NULL);
 	if (s->script == SCRIPT_END) {
 		s->dead = true;
@@ -181,10 +185,11 @@
 		for (int i = 0; i < copies; i++)
 			buf_add(&b, text, (size_t)n);
 		if (s->script == SCRIPT_TWICE_LATE)
-			send_late(s->bench, c->fd,
-				  (struct lstr){text, (size_t)n}, 3);
+			send_delayed(s->bench, c->fd,
+				     (struct lstr){text, (size_t)n}, 3);
 		if (s->tail && s->tail_ms)
-			send_late(s->bench, c->fd, lstr0(s->tail), s->tail_ms);
+			send_delayed(s->bench, c->fd, lstr0(s->tail),
+				     s->tail_ms);
 		else if (s->tail)
 			buf_add_lstr(&b, lstr0(s->tail));
 		http_conn_reply_raw(c, buf_lstr(&b), false);
@@ -202,7 +207,7 @@
 	g_free(j);
 }
 
-static inline void server_gone(void *priv, struct http_conn *c)
+static inline void server_connection_closed(void *priv, struct http_conn *c)
 {
 	struct server *s = priv;
 	struct job *j = http_conn_user(c);
@@ -218,19 +223,21 @@
 {
 	char headers[256];
 
-	s->asked++;
-	if (s->mute) {
+	s->probes++;
+	if (s->reset_probes) {
 		http_conn_abort(c);
 		return;
 	}
 	snprintf(headers, sizeof(headers), "Instance-Id: %s\r\n", s->id);
-	if (s->tells_load && !s->ill)
+	if (s->tells_load && !s->unhealthy)
 		snprintf(headers + strlen(headers), 80,
-			 "Server-Load: %u,0,2,100\r\n", s->busy + s->running);
-	if (s->says_asked)
-		strcat(headers, s->says_asked);
-	http_conn_reply(c, &(struct http_reply){.status = s->ill ? 503 : 200,
-						.headers = lstr0(headers)});
+			 "Server-Load: %u,0,2,100\r\n",
+			 s->busy_slots + s->running);
+	if (s->probe_headers)
+		strcat(headers, s->probe_headers);
+	http_conn_reply(c,
+			&(struct http_reply){.status = s->unhealthy ? 503 : 200,
+					     .headers = lstr0(headers)});
 }
 
 static inline void server_request(void *priv, struct http_conn *c,
@@ -262,9 +269,10 @@
 	http_message_free(m);
 	if (s->script != SCRIPT_REFUSE_LATE)
 		g_hash_table_replace(
-			s->bench->ran, g_strdup(j->id),
-			GINT_TO_POINTER(1 + GPOINTER_TO_INT(g_hash_table_lookup(
-						    s->bench->ran, j->id))));
+			s->bench->executions, g_strdup(j->id),
+			GINT_TO_POINTER(1 +
+					GPOINTER_TO_INT(g_hash_table_lookup(
+						s->bench->executions, j->id))));
 	j->refuse = s->script == SCRIPT_REFUSE_LATE;
 	s->running++;
 	http_conn_set_user(c, j);
@@ -274,7 +282,8 @@
 		ev_timer_start(s->bench->loop, &j->timer);
 }
 
-static const struct http_server_ops server_ops = {server_request, server_gone};
+static const struct http_server_ops server_ops = {server_request,
+						  server_connection_closed};
 
 static inline struct config *bench_config(void)
 {
@@ -344,7 +353,7 @@
 	return g_strdup_printf("127.0.0.1:%d", BENCH_PORT + 50 + i);
 }
 
-static inline void bench_mail(void *priv, struct mail *m)
+static inline void ignore_mail(void *priv, struct mail *m)
 {
 }
 
@@ -374,7 +383,8 @@
 	b->loop = b->traffic.loop;
 	b->traffic.ask_rule.instances = 1;
 	b->traffic.config = bench_config();
-	b->ran = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	b->executions =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	b->callers = g_ptr_array_new();
 	b->n = n;
 	for (int i = 0; i < n; i++)
@@ -410,7 +420,7 @@
 
 static inline unsigned bench_runs(const struct bench *b, const struct caller *c)
 {
-	return GPOINTER_TO_UINT(g_hash_table_lookup(b->ran, c->id));
+	return GPOINTER_TO_UINT(g_hash_table_lookup(b->executions, c->id));
 }
 
 static inline void bench_script(struct bench *b, int i, enum script script)
@@ -460,13 +470,13 @@
 		if (!b->servers[i].dead)
 			http_server_close(&b->servers[i].http);
 	}
-	http_server_close(&b->traffic.front);
-	http_server_close(&b->traffic.ready);
-	http_server_close(&b->traffic.directory);
-	http_server_close(&b->traffic.metrics);
+	http_server_close(&b->traffic.caller_server);
+	http_server_close(&b->traffic.readiness_server);
+	http_server_close(&b->traffic.directory_server);
+	http_server_close(&b->traffic.metrics_server);
 	ev_loop_destroy(b->loop);
 	g_ptr_array_unref(b->callers);
-	g_hash_table_unref(b->ran);
+	g_hash_table_unref(b->executions);
 	g_free(b);
 }
 
--- a/tests/bench_callers.h
+++ b/tests/bench_callers.h
@@ -68,9 +68,9 @@
 			       limit_ms);
 }
 
-static inline void caller_leave(struct caller *c)
+static inline void caller_disconnect(struct caller *c)
 {
-	c->left = true;
+	c->disconnected = true;
 	c->open = false;
 	http_client_close(&c->http);
 }
--- a/tests/test_end_check.c
+++ b/tests/test_end_check.c
@@ -139,7 +139,7 @@
 	b->servers[0].work_ms = 50;
 	c = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 30);
-	b->servers[0].mute = true;
+	b->servers[0].reset_probes = true;
 	bench_run_until(b, c);
 	bench_run_ms(b, CHECK_MS);
 	assert_int_equal(nnews, 0);
@@ -153,13 +153,13 @@
 	uint32_t start = start_of(b, "i-0");
 
 	strcpy(b->servers[0].id, "i-0-again");
-	b->servers[0].mute = false;
+	b->servers[0].reset_probes = false;
 	bench_run_ms(b, 500);
 	assert_int_equal(nnews, 1);
 	assert_int_equal(news[0].detail, start);
 	bench_free(b);
 	b = begin_unsure();
-	b->servers[0].mute = false;
+	b->servers[0].reset_probes = false;
 	bench_run_ms(b, 500);
 	assert_int_equal(nnews, 0);
 	bench_free(b);
@@ -202,10 +202,10 @@
 	c = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 30);
 	back_off(b);
-	asked = b->servers[0].asked;
+	asked = b->servers[0].probes;
 	bench_run_until(b, c);
 	bench_run_ms(b, CHECK_MS);
-	assert_int_equal(b->servers[0].asked, asked);
+	assert_int_equal(b->servers[0].probes, asked);
 	bench_free(b);
 }
 
@@ -215,9 +215,9 @@
 	unsigned asked;
 
 	back_off(b);
-	asked = b->servers[0].asked;
+	asked = b->servers[0].probes;
 	bench_run_ms(b, 800);
-	assert_int_equal(b->servers[0].asked, asked);
+	assert_int_equal(b->servers[0].probes, asked);
 	bench_free(b);
 }
 
@@ -350,7 +350,7 @@
 	struct caller *c;
 	int64_t t0;
 
-	b->servers[0].busy = 2;
+	b->servers[0].busy_slots = 2;
 	c = bench_call(b, "GET", 1000);
 	bench_run_ms(b, 20);
 	assert_true(c->open);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,5 +1,5 @@
 /*
- * Tests of traffic/limits, traffic/limit_sends and traffic/request_wait: the
+ * Tests of traffic/limits, traffic/limit_sends and traffic/request_queue: the
  * traffic side with servers that name limits, and what it and its peers tell each
  * other.
  */
@@ -21,7 +21,8 @@
 
 		g_array_append_val(v->sharers, s);
 	}
-	assert_int_equal(mailbox_send(&b->traffic.in, TO_TRAFFIC_PEERS, v), 0);
+	assert_int_equal(mailbox_send(&b->traffic.inbox, TO_TRAFFIC_PEERS, v),
+			 0);
 	bench_run_ms(b, 5);
 }
 
@@ -168,7 +169,7 @@
 	news->items[0] =
 		(struct limit_item){backend_of(b, 0)->start, true, 0, 20, 10};
 	news->items[1] = (struct limit_item){12345, true, 0, 20, 10};
-	mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMITS, news);
+	mailbox_send(&b->traffic.inbox, TO_TRAFFIC_LIMITS, news);
 	bench_run_ms(b, 5);
 	assert_true(backend_is_limited(backend_of(b, 0)));
 	assert_false(backend_is_limited(backend_of(b, 1)));
@@ -191,7 +192,7 @@
 	c->entry = backend_of(b, 1)->entry;
 	g_strlcpy(c->entry.id, b->servers[i].id, sizeof(c->entry.id));
 	c->entry.addr.sin_port = htons((uint16_t)(BENCH_PORT + i));
-	mailbox_send(&b->traffic.in, TO_TRAFFIC_BACKEND, c);
+	mailbox_send(&b->traffic.inbox, TO_TRAFFIC_BACKEND, c);
 	bench_run_ms(b, 5);
 }
 
@@ -258,7 +259,7 @@
 		*grant = (struct limit_call){true, OTHER, 0,
 					     backend_of(b, 0)->start,
 					     s->want.serial - !asked};
-		mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMIT_CALL, grant);
+		mailbox_send(&b->traffic.inbox, TO_TRAFFIC_LIMIT_CALL, grant);
 		bench_run_until(b, c);
 		assert_int_equal(c->status, asked ? 200 : 503);
 	}
@@ -273,7 +274,7 @@
 
 	*q = (struct limit_call){
 		.from = OTHER, .what = g_str_hash("harta"), .serial = 9};
-	mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMIT_CALL, q);
+	mailbox_send(&b->traffic.inbox, TO_TRAFFIC_LIMIT_CALL, q);
 	bench_run_ms(b, 5);
 }
 
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -14,7 +14,7 @@
 #include "traffic/request.h"
 
 /* A calm service: every request is answered with its own body. */
-static void test_calm(void **state)
+static void test_healthy_servers(void **state)
 {
 	struct bench *b = bench_new(3);
 
@@ -56,14 +56,14 @@
 }
 
 /* Full by its own report: nothing is sent, and the caller knows at once. */
-static void test_no_room(void **state)
+static void test_no_capacity(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct caller *c;
 	int64_t t0 = clock_ms();
 
-	b->servers[0].busy = 2;
-	b->servers[1].busy = 2;
+	b->servers[0].busy_slots = 2;
+	b->servers[1].busy_slots = 2;
 	c = bench_call(b, "GET", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 503);
@@ -74,13 +74,13 @@
 }
 
 /* A request that waits gets the room that an answer tells of. */
-static void test_room_appears(void **state)
+static void test_capacity_appears(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *first, *second;
 
 	b->servers[0].work_ms = 15;
-	b->servers[0].busy = 1;
+	b->servers[0].busy_slots = 1;
 	first = bench_call(b, "GET", 1000);
 	bench_run_ms(b, 8);
 	second = bench_call(b, "GET", 1000);
@@ -114,7 +114,7 @@
 }
 
 /* With questions switched off requests still find servers. */
-static void test_no_questions(void **state)
+static void test_no_probes(void **state)
 {
 	struct bench *b;
 
@@ -126,7 +126,7 @@
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
 	}
-	assert_int_equal(b->traffic.counters.asks, 0);
+	assert_int_equal(b->traffic.counters.probes, 0);
 	mechanisms.ask = true;
 	bench_free(b);
 }
@@ -149,7 +149,7 @@
 }
 
 /* A leaving server gets no new work, a dead one costs a moment. */
-static void test_leaving_and_dead(void **state)
+static void test_draining_and_dead(void **state)
 {
 	struct bench *b = bench_new(3);
 	struct caller *c;
@@ -178,14 +178,14 @@
 	c = bench_call(b, "GET", 1000);
 	bench_run_ms(b, 50);
 	assert_int_equal(b->servers[0].running, 1);
-	caller_leave(c);
+	caller_disconnect(c);
 	bench_run_ms(b, 50);
 	assert_int_equal(b->servers[0].running, 0);
 	assert_int_equal(b->traffic.open_requests, 0);
 	/* What may not be repeated goes on to its end there. */
 	c = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 50);
-	caller_leave(c);
+	caller_disconnect(c);
 	bench_run_ms(b, 50);
 	assert_int_equal(b->servers[0].running, 1);
 	bench_run_ms(b, 350);
@@ -194,45 +194,45 @@
 	bench_free(b);
 }
 
-static unsigned settled_status, settled_count;
+static unsigned completed_status, completed_count;
 
-static void on_settled(struct request *r, unsigned status, struct lstr body)
+static void on_completed(struct request *r, unsigned status, struct lstr body)
 {
-	settled_status = status;
-	settled_count++;
+	completed_status = status;
+	completed_count++;
 }
 
 /*
  * The caller leaves while its request still looks for a server: it did not
  * run, and whoever keeps account of it (keys of protected calls) hears so.
  */
-static void test_leaves_while_placing(void **state)
+static void test_caller_leaves_during_selection(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller_protocol counting;
 	struct request *r;
 	struct caller *c;
 
-	b->servers[0].busy = 2;
+	b->servers[0].busy_slots = 2;
 	c = bench_call(b, "POST", 1000);
 	for (int i = 0; i < 20 && b->traffic.open_requests == 0; i++)
 		bench_run_ms(b, 1);
-	r = http_conn_user(b->traffic.front.conns);
+	r = http_conn_user(b->traffic.caller_server.conns);
 	assert_non_null(r);
 	counting = *r->protocol;
-	counting.settled = on_settled;
+	counting.completed = on_completed;
 	r->protocol = &counting;
-	settled_count = 0;
-	caller_leave(c);
+	completed_count = 0;
+	caller_disconnect(c);
 	bench_run_ms(b, 10);
-	assert_int_equal(settled_count, 1);
-	assert_int_equal(settled_status, 503);
+	assert_int_equal(completed_count, 1);
+	assert_int_equal(completed_status, 503);
 	assert_int_equal(b->traffic.open_requests, 0);
 	bench_free(b);
 }
 
 /* Nobody waits any more: a refused request isn't taken to another server. */
-static void test_left_is_not_sent_again(void **state)
+static void test_no_retry_after_caller_left(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct caller *c;
@@ -244,7 +244,7 @@
 	c = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 30);
 	assert_int_equal(b->servers[0].received + b->servers[1].received, 1);
-	caller_leave(c);
+	caller_disconnect(c);
 	bench_run_ms(b, 150);
 	assert_int_equal(b->servers[0].received + b->servers[1].received, 1);
 	assert_int_equal(b->traffic.open_requests, 0);
@@ -279,11 +279,11 @@
 }
 
 /* One ill server doesn't make the service count as one without reports. */
-static void test_ill_server(void **state)
+static void test_unhealthy_server(void **state)
 {
 	struct bench *b = bench_new(2);
 
-	b->servers[0].ill = true;
+	b->servers[0].unhealthy = true;
 	for (int i = 0; i < 10; i++) {
 		struct caller *c = bench_call(b, i % 2 ? "GET" : "POST", 1000);
 
@@ -299,7 +299,7 @@
 }
 
 /* A service whose servers don't tell their load is served as well. */
-static void test_load_not_told(void **state)
+static void test_load_not_reported(void **state)
 {
 	struct bench *b = bench_new(3);
 
@@ -360,7 +360,7 @@
  * for a server and spent from it when it had found one, some milliseconds later:
  * so all eight asked before the first had spent, and all were sent again.
  */
-static void test_refused_together(void **state)
+static void test_budget_with_concurrent_refusals(void **state)
 {
 	enum { REQUESTS = 8 };
 
@@ -382,12 +382,13 @@
 	bench_free(b);
 }
 
-static void tell_instances(struct bench *b, unsigned n)
+static void send_peer_view(struct bench *b, unsigned n)
 {
 	struct peer_view *v = g_new0(struct peer_view, 1);
 
 	v->instances = n;
-	assert_int_equal(mailbox_send(&b->traffic.in, TO_TRAFFIC_PEERS, v), 0);
+	assert_int_equal(mailbox_send(&b->traffic.inbox, TO_TRAFFIC_PEERS, v),
+			 0);
 	bench_run_ms(b, 5);
 }
 
@@ -396,16 +397,16 @@
  * its part of what all share doesn't grow. With six times the usual callers and
  * 12 of 16 instances cut off servers got 69.7 questions a second, 60 are allowed.
  */
-static void test_cut_off_keeps_count(void **state)
+static void test_partition_keeps_instance_count(void **state)
 {
 	struct bench *b = bench_new(1);
 
-	tell_instances(b, 16);
+	send_peer_view(b, 16);
 	assert_int_equal(b->traffic.ask_rule.instances, 16);
-	tell_instances(b, 1);
+	send_peer_view(b, 1);
 	assert_int_equal(b->traffic.ask_rule.instances, 16);
 	assert_int_equal(b->traffic.budget_rule.instances, 16);
-	tell_instances(b, 20);
+	send_peer_view(b, 20);
 	assert_int_equal(b->traffic.ask_rule.instances, 20);
 	assert_int_equal(b->traffic.budget_rule.instances, 20);
 	bench_free(b);
@@ -415,7 +416,7 @@
  * Seeded days of misbehaving servers: whatever they do, the promises to the
  * callers hold.
  */
-static void run_day(guint32 seed)
+static void run_random_faults(guint32 seed)
 {
 	GRand *rand = g_rand_new_with_seed(seed);
 	struct bench *b = bench_new(4);
@@ -432,7 +433,7 @@
 		calls[i] = bench_call(b, post ? "POST" : "GET", 400);
 		bench_run_ms(b, g_rand_int_range(rand, 0, 12));
 		if (g_rand_int_range(rand, 0, 15) == 0 && calls[i]->open)
-			caller_leave(calls[i]);
+			caller_disconnect(calls[i]);
 	}
 	bench_run_ms(b, 700);
 	for (int i = 0; i < 120; i++) {
@@ -446,7 +447,7 @@
 			fail_msg("seed %u: %s refused, but ran", seed, c->id);
 		if (c->status == 200 && !caller_has_own_body(c))
 			fail_msg("seed %u: %s got a foreign body", seed, c->id);
-		if (!c->left && !c->status)
+		if (!c->disconnected && !c->status)
 			fail_msg("seed %u: %s got no answer", seed, c->id);
 	}
 	assert_int_equal(b->traffic.open_requests, 0);
@@ -454,7 +455,7 @@
 	g_rand_free(rand);
 }
 
-static void test_days(void **state)
+static void test_random_faults(void **state)
 {
 	const char *env = g_getenv("MP_SEED");
 	guint32 seed =
@@ -462,30 +463,30 @@
 
 	print_message("seed %u\n", seed);
 	for (guint32 i = 0; i < 6; i++)
-		run_day(seed + i);
+		run_random_faults(seed + i);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_calm),
+		cmocka_unit_test(test_healthy_servers),
 		cmocka_unit_test(test_refused),
-		cmocka_unit_test(test_no_room),
-		cmocka_unit_test(test_room_appears),
+		cmocka_unit_test(test_no_capacity),
+		cmocka_unit_test(test_capacity_appears),
 		cmocka_unit_test(test_silent_server),
-		cmocka_unit_test(test_no_questions),
+		cmocka_unit_test(test_no_probes),
 		cmocka_unit_test(test_address_reused),
-		cmocka_unit_test(test_leaving_and_dead),
+		cmocka_unit_test(test_draining_and_dead),
 		cmocka_unit_test(test_caller_leaves),
-		cmocka_unit_test(test_leaves_while_placing),
-		cmocka_unit_test(test_left_is_not_sent_again),
+		cmocka_unit_test(test_caller_leaves_during_selection),
+		cmocka_unit_test(test_no_retry_after_caller_left),
 		cmocka_unit_test(test_no_route),
-		cmocka_unit_test(test_ill_server),
-		cmocka_unit_test(test_load_not_told),
+		cmocka_unit_test(test_unhealthy_server),
+		cmocka_unit_test(test_load_not_reported),
 		cmocka_unit_test(test_filled_by_peers),
-		cmocka_unit_test(test_refused_together),
-		cmocka_unit_test(test_cut_off_keeps_count),
-		cmocka_unit_test(test_days),
+		cmocka_unit_test(test_budget_with_concurrent_refusals),
+		cmocka_unit_test(test_partition_keeps_instance_count),
+		cmocka_unit_test(test_random_faults),
 	};
 
 	mp_log_init("test");
--- a/tests/test_request_log.c
+++ b/tests/test_request_log.c
@@ -16,8 +16,9 @@
 static GString *lines;
 
 /* Takes the place of the process's own log writer. */
-static GLogWriterOutput keep_line(GLogLevelFlags level, const GLogField *fields,
-				  gsize n, gpointer data)
+static GLogWriterOutput capture_line(GLogLevelFlags level,
+				     const GLogField *fields, gsize n,
+				     gpointer data)
 {
 	const char *ev = "", *msg = "";
 
@@ -32,7 +33,7 @@
 }
 
 /* Waits for a new second and uses up its allowance for what goes well. */
-static void begin_storm(void)
+static void exhaust_log_allowance(void)
 {
 	struct timespec t;
 
@@ -56,7 +57,7 @@
 	return n;
 }
 
-static struct caller *call(struct bench *b, const char *method)
+static struct caller *call_and_wait(struct bench *b, const char *method)
 {
 	struct caller *c;
 
@@ -67,10 +68,10 @@
 }
 
 /* While lines are plenty: each decision, with the retry budget. */
-static void test_plenty(void **state)
+static void test_lines_within_allowance(void **state)
 {
 	struct bench *b = bench_new(2);
-	struct caller *c = call(b, "GET");
+	struct caller *c = call_and_wait(b, "GET");
 
 	assert_int_equal(c->status, 200);
 	assert_int_equal(count_lines("410", c), 1);
@@ -81,14 +82,14 @@
 }
 
 /* In a storm: one that is served in time is counted, not written. */
-static void test_storm_served(void **state)
+static void test_suppressed_served(void **state)
 {
 	struct bench *b = bench_new(2);
 	guint64 lost = mp_log_lost();
 	struct caller *c;
 
-	begin_storm();
-	c = call(b, "GET");
+	exhaust_log_allowance();
+	c = call_and_wait(b, "GET");
 	assert_int_equal(c->status, 200);
 	assert_int_equal(count_lines("410", c), 0);
 	assert_int_equal(count_lines("411", c), 0);
@@ -97,15 +98,15 @@
 }
 
 /* In a storm: one that fails is told in full, with every server it went to. */
-static void test_storm_refused(void **state)
+static void test_suppressed_refused(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct caller *c;
 
 	bench_script(b, 0, SCRIPT_REFUSE);
 	bench_script(b, 1, SCRIPT_REFUSE);
-	begin_storm();
-	c = call(b, "POST");
+	exhaust_log_allowance();
+	c = call_and_wait(b, "POST");
 	assert_int_equal(c->status, 503);
 	assert_int_equal(count_lines("410", c), 2);
 	assert_int_equal(count_lines("414", c), 1);
@@ -117,7 +118,7 @@
  * In a storm: a second send is accounted for also when the request goes well,
  * with what this lifetime has spent so far; metrics say the same.
  */
-static void test_storm_extra(void **state)
+static void test_suppressed_extra(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct buf metrics = {0};
@@ -125,9 +126,9 @@
 
 	bench_script(b, 0, SCRIPT_REFUSE);
 	b->servers[1].work_ms = 1;
-	begin_storm();
+	exhaust_log_allowance();
 	for (int i = 0; i < 50; i++) {
-		c = call(b, "GET");
+		c = call_and_wait(b, "GET");
 		assert_int_equal(c->status, 200);
 		if (count_lines("419", c))
 			break;
@@ -149,21 +150,21 @@
 }
 
 /* In a storm: late, and an unknown outcome. */
-static void test_storm_late(void **state)
+static void test_suppressed_late(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *c;
 
 	b->servers[0].work_ms = BENCH_TARGET_MS + 50;
-	begin_storm();
-	c = call(b, "POST");
+	exhaust_log_allowance();
+	c = call_and_wait(b, "POST");
 	assert_int_equal(c->status, 200);
 	assert_int_equal(count_lines("410", c), 1);
 	assert_int_equal(count_lines("411", c), 1);
 	bench_script(b, 0, SCRIPT_RUN_RESET);
 	b->servers[0].work_ms = 5;
-	begin_storm();
-	c = call(b, "POST");
+	exhaust_log_allowance();
+	c = call_and_wait(b, "POST");
 	assert_int_equal(c->status, 502);
 	assert_int_equal(count_lines("410", c), 1);
 	assert_int_equal(count_lines("413", c), 1);
@@ -181,13 +182,13 @@
 	char *first, *second;
 
 	bench_script(b, 0, SCRIPT_RUN_RESET);
-	c = call(b, "POST");
+	c = call_and_wait(b, "POST");
 	assert_int_equal(count_lines("418", c), 1);
 	first = g_strndup(strstr(lines->str, "digest="), 23);
-	call(b, "POST");
+	call_and_wait(b, "POST");
 	second = g_strndup(strstr(lines->str, "digest="), 23);
 	assert_string_equal(first, second);
-	call(b, "GET");
+	call_and_wait(b, "GET");
 	assert_null(strstr(lines->str, first));
 	g_free(first);
 	g_free(second);
@@ -195,20 +196,20 @@
 }
 
 /* A server whose process has ended is told once, and when it answers again. */
-static void test_down(void **state)
+static void test_unreachable_logged(void **state)
 {
 	struct bench *b = bench_new(1);
 
-	call(b, "GET");
+	call_and_wait(b, "GET");
 	bench_kill(b, 0);
-	call(b, "GET");
+	call_and_wait(b, "GET");
 	assert_non_null(strstr(lines->str, "ev=316 backend=i-0 service=harta "
 					   "err=Connection refused"));
-	call(b, "GET");
+	call_and_wait(b, "GET");
 	assert_null(strstr(lines->str, "ev=316"));
 	b->servers[0].dead = false;
 	server_open(b, 0);
-	call(b, "GET");
+	call_and_wait(b, "GET");
 	assert_non_null(strstr(lines->str, "ev=317 backend=i-0"));
 	bench_free(b);
 }
@@ -217,15 +218,15 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_broken),
-		cmocka_unit_test(test_down),
-		cmocka_unit_test(test_plenty),
-		cmocka_unit_test(test_storm_served),
-		cmocka_unit_test(test_storm_refused),
-		cmocka_unit_test(test_storm_extra),
-		cmocka_unit_test(test_storm_late),
+		cmocka_unit_test(test_unreachable_logged),
+		cmocka_unit_test(test_lines_within_allowance),
+		cmocka_unit_test(test_suppressed_served),
+		cmocka_unit_test(test_suppressed_refused),
+		cmocka_unit_test(test_suppressed_extra),
+		cmocka_unit_test(test_suppressed_late),
 	};
 
 	lines = g_string_new(NULL);
-	g_log_set_writer_func(keep_line, NULL, NULL);
+	g_log_set_writer_func(capture_line, NULL, NULL);
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_request_send.c
+++ b/tests/test_request_send.c
@@ -11,7 +11,7 @@
 #include "traffic/request.h"
 
 /* A server that runs the request and breaks off: repeat only if allowed. */
-static void test_answer_lost(void **state)
+static void test_lost_response(void **state)
 {
 	static const enum script scripts[] = {SCRIPT_RUN_RESET, SCRIPT_RUN_CUT,
 					      SCRIPT_RUN_GARBAGE};
@@ -70,7 +70,7 @@
 		struct caller *c;
 
 		/* The class usually takes three quarters of its target. */
-		traffic_class(&b->traffic, "harta", BENCH_TARGET_MS)
+		traffic_class_stats(&b->traffic, "harta", BENCH_TARGET_MS)
 			->work.usual_ms = 150;
 		c = bench_call(b, "GET", 1000);
 		bench_run_until(b, c);
@@ -93,19 +93,19 @@
  * A server that started again under its id has lost what it had: the request
  * goes to another at once where it may, and its outcome is told where not.
  */
-static void test_started_again(void **state)
+static void test_restarted_server(void **state)
 {
 	for (int i = 0; i < 2; i++) {
 		struct bench *b = bench_new(2);
 		int64_t begin;
 		struct caller *c;
 
-		b->servers[1].busy = 2;
+		b->servers[1].busy_slots = 2;
 		bench_script(b, 0, SCRIPT_HANG);
 		c = bench_call(b, i ? "POST" : "GET", 1000);
 		bench_run_ms(b, 40);
 		assert_int_equal(bench_runs(b, c), 1);
-		b->servers[1].busy = 0;
+		b->servers[1].busy_slots = 0;
 		begin = clock_ms();
 		bench_restart(b, 0, 5000);
 		bench_run_until(b, c);
@@ -117,7 +117,7 @@
 }
 
 /* A second answer to an earlier request is never passed on. */
-static void test_extra_answers(void **state)
+static void test_duplicate_responses(void **state)
 {
 	struct bench *b = bench_new(1);
 
@@ -143,7 +143,7 @@
 }
 
 /* A success without the server's receipt is no success. */
-static void test_unsealed(void **state)
+static void test_missing_receipt(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *c;
@@ -162,7 +162,7 @@
 	struct caller *c;
 
 	other->version = b->traffic.config->version;
-	mailbox_send(&b->traffic.in, TO_TRAFFIC_CONFIG, other);
+	mailbox_send(&b->traffic.inbox, TO_TRAFFIC_CONFIG, other);
 	bench_run_ms(b, 5);
 	c = bench_call(b, "GET", 1000);
 	bench_run_until(b, c);
@@ -174,12 +174,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_same_version_with_other_content),
-		cmocka_unit_test(test_answer_lost),
+		cmocka_unit_test(test_lost_response),
 		cmocka_unit_test(test_hedge),
 		cmocka_unit_test(test_rescue),
-		cmocka_unit_test(test_started_again),
-		cmocka_unit_test(test_extra_answers),
-		cmocka_unit_test(test_unsealed),
+		cmocka_unit_test(test_restarted_server),
+		cmocka_unit_test(test_duplicate_responses),
+		cmocka_unit_test(test_missing_receipt),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_server_backoff.c
+++ b/tests/test_server_backoff.c
@@ -12,7 +12,7 @@
 	for (int k = 0; k < ROUNDS_MAX && !b->servers[i].received; k++)
 		bench_run_until(b, bench_call(b, "GET", 1000));
 	assert_true(b->servers[i].received);
-	b->servers[i].received = b->servers[i].asked = 0;
+	b->servers[i].received = b->servers[i].probes = 0;
 }
 
 /* Calls for some time; returns how many were served. */
@@ -36,10 +36,10 @@
 static void ask_to_back_off(struct bench *b, int i, const char *header)
 {
 	b->servers[i].script = SCRIPT_REFUSE;
-	b->servers[i].says = header;
+	b->servers[i].extra_headers = header;
 	call_until_received(b, i);
 	b->servers[i].script = SCRIPT_SERVE;
-	b->servers[i].says = NULL;
+	b->servers[i].extra_headers = NULL;
 }
 
 static void assert_gets_nothing(struct bench *b, int i, int ms)
@@ -49,7 +49,7 @@
 	assert_true(calls > 5);
 	assert_int_equal(served, calls);
 	assert_int_equal(b->servers[i].received, 0);
-	assert_int_equal(b->servers[i].asked, 0);
+	assert_int_equal(b->servers[i].probes, 0);
 }
 
 static void assert_serves(struct bench *b, int i, int ms)
@@ -119,22 +119,22 @@
 	struct caller *first, *second;
 
 	call_until_received(b, 0); /* one that is new gets one at a time */
-	b->servers[1].busy = 2;
+	b->servers[1].busy_slots = 2;
 	b->servers[0].script = SCRIPT_REFUSE_LATE;
 	b->servers[0].work_ms = 60;
-	b->servers[0].says = "Retry-After: 0.6\r\n";
+	b->servers[0].extra_headers = "Retry-After: 0.6\r\n";
 	first = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 30);
 	second = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 20);
 	assert_int_equal(b->servers[0].received, 2);
 	bench_run_ms(b, 20);
-	b->servers[0].says = "Retry-After: 0.05\r\n";
-	b->servers[1].busy = 0;
+	b->servers[0].extra_headers = "Retry-After: 0.05\r\n";
+	b->servers[1].busy_slots = 0;
 	bench_run_until(b, first);
 	bench_run_until(b, second);
 	b->servers[0].script = SCRIPT_SERVE;
-	b->servers[0].received = b->servers[0].asked = 0;
+	b->servers[0].received = b->servers[0].probes = 0;
 	assert_gets_nothing(b, 0, 400);
 	bench_free(b);
 }
@@ -148,9 +148,9 @@
 	call_until_received(b, 0);
 	s = g_hash_table_lookup(b->traffic.backends.by_id, "i-0");
 	b->servers[0].script = SCRIPT_REFUSE_LATE;
-	b->servers[0].says = "Retry-After: 0.5\r\n";
+	b->servers[0].extra_headers = "Retry-After: 0.5\r\n";
 	b->servers[0].work_ms = 60;
-	b->servers[0].busy = 1;
+	b->servers[0].busy_slots = 1;
 	first = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 20);
 	second = bench_call(b, "POST", 1000);
@@ -191,7 +191,7 @@
 		assert_true(c->retry_after > 1.5 && c->retry_after < 3);
 	}
 	assert_int_equal(b->servers[0].received + b->servers[1].received, 0);
-	assert_int_equal(b->servers[0].asked + b->servers[1].asked, 0);
+	assert_int_equal(b->servers[0].probes + b->servers[1].probes, 0);
 	bench_free(b);
 }
 
@@ -210,9 +210,9 @@
 
 static void announce_draining(struct bench *b, int i)
 {
-	b->servers[i].says = "Server-Leaving: 1\r\n";
+	b->servers[i].extra_headers = "Server-Leaving: 1\r\n";
 	call_until_received(b, i);
-	b->servers[i].says = NULL;
+	b->servers[i].extra_headers = NULL;
 }
 
 /* Neither a later entry nor a lapse ends what the server has said. */
@@ -242,7 +242,7 @@
 	g_strlcpy(news->items[0].id, "i-0", BACKEND_NAME_MAX);
 	g_strlcpy(news->items[1].id, "i-1", BACKEND_NAME_MAX);
 	news->items[1].born_ms = 9; /* another lifetime than the one here */
-	mailbox_send(&b->traffic.in, TO_TRAFFIC_DRAIN, news);
+	mailbox_send(&b->traffic.inbox, TO_TRAFFIC_DRAIN, news);
 	bench_run_ms(b, 5);
 	bench_put(b, 0, false);
 	assert_gets_nothing(b, 0, 200);
@@ -253,13 +253,13 @@
 {
 	struct bench *b = bench_new(2);
 
-	b->servers[0].says_asked = "Server-Leaving: 1\r\n";
-	b->servers[0].ill = true;
-	for (int k = 0; k < ROUNDS_MAX && !b->servers[0].asked; k++)
+	b->servers[0].probe_headers = "Server-Leaving: 1\r\n";
+	b->servers[0].unhealthy = true;
+	for (int k = 0; k < ROUNDS_MAX && !b->servers[0].probes; k++)
 		bench_run_until(b, bench_call(b, "GET", 1000));
-	b->servers[0].says_asked = NULL;
-	b->servers[0].ill = false;
-	b->servers[0].received = b->servers[0].asked = 0;
+	b->servers[0].probe_headers = NULL;
+	b->servers[0].unhealthy = false;
+	b->servers[0].received = b->servers[0].probes = 0;
 	assert_gets_nothing(b, 0, 200);
 	bench_free(b);
 }
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -8,7 +8,7 @@
 
 #include "traffic/upstream.h"
 
-#define TURNED_AWAY                                          \
+#define REFUSAL                                              \
 	"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nRetry-After: " \
 	"9\r\nServer-Leaving: 1\r\n"                         \
 	"Content-Length: 0\r\n\r\n"
@@ -18,7 +18,7 @@
 	return g_hash_table_lookup(b->traffic.backends.by_id, b->servers[i].id);
 }
 
-static void assert_heard(struct bench *b, bool heard)
+static void assert_feedback_applied(struct bench *b, bool heard)
 {
 	const struct server_state *m = backend_of(b, 0)->state;
 
@@ -58,27 +58,27 @@
 	return u;
 }
 
-static void test_answer_after_giving_up(void **state)
+static void test_feedback_after_drop(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct upstream *u;
 	int err = 0;
 
 	b->servers[0].script = SCRIPT_REFUSE;
-	b->servers[0].says = "Retry-After: 9\r\nServer-Leaving: 1\r\n";
+	b->servers[0].extra_headers = "Retry-After: 9\r\nServer-Leaving: 1\r\n";
 	u = send_one(b, &err);
 	while (!b->servers[0].received)
 		ev_run(b->loop, EVRUN_ONCE);
-	assert_heard(b, false);
+	assert_feedback_applied(b, false);
 	upstream_drop(u);
 	bench_run_ms(b, 20);
-	assert_heard(b, true);
+	assert_feedback_applied(b, true);
 	assert_int_equal(err, 0);
 	bench_free(b);
 }
 
 /* The server sees a request that is given up as such, and drops it. */
-static void test_giving_up_ends_the_work(void **state)
+static void test_drop_cancels_work(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct upstream *u;
@@ -95,24 +95,24 @@
 	bench_free(b);
 }
 
-static void test_answer_behind_another(void **state)
+static void test_feedback_of_trailing_response(void **state)
 {
 	for (int late = 0; late < 2; late++) {
 		struct bench *b = bench_new(1);
 		struct caller *c;
 
-		b->servers[0].tail = TURNED_AWAY;
+		b->servers[0].tail = REFUSAL;
 		b->servers[0].tail_ms = 10 * late;
 		c = bench_call(b, "POST", 1000);
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
 		bench_run_ms(b, 30);
-		assert_heard(b, true);
+		assert_feedback_applied(b, true);
 		bench_free(b);
 	}
 }
 
-static void test_answer_of_another_start(void **state)
+static void test_response_of_another_start(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *c;
@@ -125,7 +125,7 @@
 	c = bench_call(b, "POST", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 200);
-	assert_heard(b, false);
+	assert_feedback_applied(b, false);
 	bench_free(b);
 }
 
@@ -193,10 +193,10 @@
 int main(int argc, char **argv)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_answer_after_giving_up),
-		cmocka_unit_test(test_giving_up_ends_the_work),
-		cmocka_unit_test(test_answer_behind_another),
-		cmocka_unit_test(test_answer_of_another_start),
+		cmocka_unit_test(test_feedback_after_drop),
+		cmocka_unit_test(test_drop_cancels_work),
+		cmocka_unit_test(test_feedback_of_trailing_response),
+		cmocka_unit_test(test_response_of_another_start),
 		cmocka_unit_test(test_withdrawn_while_connecting),
 		cmocka_unit_test(test_withdrawn_request_goes_elsewhere),
 	};
--- a/traffic/drain_news.c
+++ b/traffic/drain_news.c
@@ -62,7 +62,7 @@
 		return more;
 	copy = g_memdup2(&news, sizeof(news));
 	/* With a full queue it is lost like a datagram. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_DRAIN, copy))
+	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_DRAIN, copy))
 		g_free(copy);
 	return more;
 }
--- a/traffic/end_check.c
+++ b/traffic/end_check.c
@@ -45,7 +45,7 @@
 
 	*news = (struct crash_news){kind, digest, detail};
 	/* With a full queue it is lost like a datagram. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_CRASH, news))
+	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_CRASH, news))
 		g_free(news);
 }
 
@@ -185,7 +185,8 @@
 
 static bool may_ask(struct traffic *t)
 {
-	return ask_budget_take(&t->asks, &t->ask_rule, traffic_servers(t), 1, 1,
+	return ask_budget_take(&t->probe_budget, &t->ask_rule,
+			       traffic_count_backends(t), 1, 1,
 			       clock_ms()) == 1;
 }
 
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -85,7 +85,7 @@
 	struct limit_call *copy = g_memdup2(call, sizeof(*call));
 
 	/* With a full queue it is lost like a datagram. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_LIMIT_CALL, copy))
+	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_LIMIT_CALL, copy))
 		g_free(copy);
 }
 
@@ -179,7 +179,7 @@
 		return;
 	t->counters.limits_granted++;
 	b->state->limit->granted_ms = limit_grant_until_ms(now_ms);
-	request_use_room(t, b);
+	request_offer_capacity(t, b);
 }
 
 /* limit_sends_called() takes in what a peer asks for, or grants. */
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -137,7 +137,7 @@
 	struct limit_news *copy = g_memdup2(news, sizeof(*news));
 
 	/* With a full queue it is lost like a datagram. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_LIMITS, copy))
+	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_LIMITS, copy))
 		g_free(copy);
 }
 
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -138,11 +138,11 @@
 		   t->lifetime, clock_ms() - t->started_ms);
 	buf_printf(out, "instances %u\n", t->peers.instances);
 	buf_printf(out, "open_requests %u\n", t->open_requests);
-	buf_printf(out, "caller_connections %u\n", t->front.nconns);
+	buf_printf(out, "caller_connections %u\n", t->caller_server.nconns);
 	buf_printf(out, "backend_connections_opened %u\n", upstream_opened());
-	buf_printf(out, "asks %" G_GUINT64_FORMAT "\n", n->asks);
+	buf_printf(out, "asks %" G_GUINT64_FORMAT "\n", n->probes);
 	buf_printf(out, "ask_failures %" G_GUINT64_FORMAT "\n",
-		   n->ask_failures);
+		   n->probe_failures);
 	buf_printf(out, "foreign_answers %" G_GUINT64_FORMAT "\n",
 		   n->foreign_answers);
 	buf_printf(out, "end_checks %" G_GUINT64_FORMAT "\n", n->end_checks);
@@ -164,7 +164,7 @@
 	buf_printf(out, "no_config %" G_GUINT64_FORMAT "\n", n->no_config);
 	buf_printf(out, "no_route %" G_GUINT64_FORMAT "\n", n->no_route);
 	buf_printf(out, "directory_answers %" G_GUINT64_FORMAT "\n",
-		   n->directory);
+		   n->directory_answers);
 	g_hash_table_iter_init(&it, t->classes);
 	while (g_hash_table_iter_next(&it, NULL, &item))
 		write_class(out, item);
--- a/traffic/ask.c
+++ b/traffic/probe.c
@@ -3,22 +3,22 @@
 #include "common/event.h"
 #include "core/outlier.h"
 #include "misc/clock.h"
-#include "traffic/ask.h"
+#include "traffic/probe.h"
 
 /* A server that tells its load does so at once, in a round trip. */
-static const double ASK_TIMEOUT_S = 0.06;
+static const double PROBE_TIMEOUT_S = 0.06;
 
 /* No answer to a question is a failure of the server, of full weight. */
-static const double SILENT_TROUBLE = 1.0;
+static const double PROBE_FAILURE_WEIGHT = 1.0;
 
-static void free_ask(struct ask *a)
+static void probe_free(struct probe *a)
 {
 	backend_unref(a->backend);
 	g_free(a);
 }
 
 /* Closes the connection of an ask that has ended badly. */
-static void drop_ask(struct ask *a)
+static void probe_close(struct probe *a)
 {
 	if (a->upstream)
 		upstream_drop(a->upstream);
@@ -27,27 +27,28 @@
 }
 
 /* Ends one ask of a request, or leaves it to end by itself. */
-static void leave_ask(struct ask *a)
+static void probe_detach(struct probe *a)
 {
 	a->request = NULL;
 	if (a->pending)
 		return;
 	if (a->upstream)
 		upstream_put(a->upstream, clock_ms());
-	free_ask(a);
+	probe_free(a);
 }
 
-/* ask_release() leaves all asks of a request's placement. */
-void ask_release(struct request *r)
+/* probes_release() leaves all asks of a request's select_reason. */
+void probes_release(struct request *r)
 {
-	for (unsigned i = 0; i < r->nasks; i++)
-		leave_ask(r->asks[i]);
-	r->nasks = 0;
+	for (unsigned i = 0; i < r->nprobes; i++)
+		probe_detach(r->probes[i]);
+	r->nprobes = 0;
 }
 
-static enum http_verdict ask_judge(void *owner, const struct answer_info *info)
+static enum http_verdict probe_judge(void *owner,
+				     const struct answer_info *info)
 {
-	struct ask *a = owner;
+	struct probe *a = owner;
 
 	/* Only an answer that names its server answers the question. */
 	if (info->id.ptr || !info->backend.ptr) {
@@ -58,7 +59,7 @@
 }
 
 /* Logs the first question that b doesn't answer, and the next that it does. */
-static void note_down(struct backend *b, int err, int64_t now_ms)
+static void record_reachability(struct backend *b, int err, int64_t now_ms)
 {
 	if (b->down == (err != 0))
 		return;
@@ -77,7 +78,7 @@
 }
 
 /* The address belongs to another start by now: this one has ended. */
-static void forget_backend(struct traffic *t, struct backend *b)
+static void remove_replaced_backend(struct traffic *t, struct backend *b)
 {
 	mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s why=another answers at its address", b->entry.id);
@@ -89,8 +90,8 @@
  * whose servers tell no load only if a healthy one's first answer has none:
  * one that fails or leaves may answer without.
  */
-static bool note_report(struct ask *a, const struct answer_info *info,
-			unsigned status, int64_t now_ms)
+static bool record_load_report(struct probe *a, const struct answer_info *info,
+			       unsigned status, int64_t now_ms)
 {
 	struct service *s = a->backend->service;
 
@@ -107,86 +108,87 @@
 }
 
 /* The request goes on, or nobody waits and the ask ends. */
-static void ask_over(struct ask *a, int64_t now_ms)
+static void probe_done(struct probe *a, int64_t now_ms)
 {
 	if (a->request) {
-		a->request->answered += a->answered;
-		request_place_decide(a->request, now_ms);
+		a->request->probes_answered += a->answered;
+		request_select_step(a->request, now_ms);
 		return;
 	}
-	leave_ask(a);
+	probe_detach(a);
 }
 
-static void ask_response(void *owner, struct http_message *m,
-			 const struct answer_info *info)
+static void probe_response(void *owner, struct http_message *m,
+			   const struct answer_info *info)
 {
-	struct ask *a = owner;
+	struct probe *a = owner;
 	int64_t now_ms = clock_ms();
 
 	a->pending = false;
 	if (!lstr_eq(info->backend, lstr0(a->backend->entry.id))) {
-		drop_ask(a);
-		forget_backend(a->traffic, a->backend);
+		probe_close(a);
+		remove_replaced_backend(a->traffic, a->backend);
 	} else {
-		note_down(a->backend, 0, now_ms);
-		if (!a->opened)
+		record_reachability(a->backend, 0, now_ms);
+		if (!a->new_connection)
 			place_note_way(a->backend,
-				       (double)(now_ms - a->asked_ms));
-		a->answered = note_report(a, info, m->status, now_ms) &&
+				       (double)(now_ms - a->sent_ms));
+		a->answered = record_load_report(a, info, m->status, now_ms) &&
 			      a->upstream->http.reusable;
 		if (!a->answered)
-			drop_ask(a);
+			probe_close(a);
 	}
 	http_message_free(m);
-	ask_over(a, now_ms);
+	probe_done(a, now_ms);
 }
 
-static void ask_failed(void *owner, int err, bool sent)
+static void probe_failed(void *owner, int err, bool sent)
 {
-	struct ask *a = owner;
+	struct probe *a = owner;
 	int64_t now_ms = clock_ms();
 
 	a->upstream = NULL;
 	a->pending = false;
-	a->traffic->counters.ask_failures += err != -ECANCELED;
+	a->traffic->counters.probe_failures += err != -ECANCELED;
 	/*
 	 * A kept connection may be closed at any time, and a question be withdrawn:
 	 * nobody's fault.
 	 */
 	if (err != -EPIPE && err != -ECONNRESET && err != -ECANCELED) {
-		note_down(a->backend, err, now_ms);
-		outlier_note(a->backend, SILENT_TROUBLE, now_ms);
+		record_reachability(a->backend, err, now_ms);
+		outlier_note(a->backend, PROBE_FAILURE_WEIGHT, now_ms);
 	}
-	ask_over(a, now_ms);
+	probe_done(a, now_ms);
 }
 
-static const struct upstream_ops ask_ops = {ask_judge, ask_response,
-					    ask_failed};
+static const struct upstream_ops probe_ops = {probe_judge, probe_response,
+					      probe_failed};
 
-/* ask_start() asks b for its load on behalf of a request. */
-void ask_start(struct request *r, struct backend *b)
+/* probe_start() asks b for its load on behalf of a request. */
+void probe_start(struct request *r, struct backend *b)
 {
 	const struct service_config *sc =
 		config_service(r->config, lstr0(r->service->name));
 	struct upstream *u = upstream_get(r->traffic, b, 0);
 	struct buf bytes = {0};
-	struct ask *a;
+	struct probe *a;
 
 	if (!u)
 		return;
-	a = g_new0(struct ask, 1);
+	a = g_new0(struct probe, 1);
 	a->request = r;
 	a->traffic = r->traffic;
 	a->upstream = u;
-	a->asked_ms = clock_ms();
-	a->opened = u->used_ms == 0;
-	r->asks[r->nasks++] = a;
+	a->sent_ms = clock_ms();
+	a->new_connection = u->last_used_ms == 0;
+	r->probes[r->nprobes++] = a;
 	a->backend = backend_ref(b);
 	a->pending = true;
-	r->traffic->counters.asks++;
-	r->asked++;
+	r->traffic->counters.probes++;
+	r->probes_sent++;
 	exchange_write_probe(&bytes, sc ? sc->health_path : LSTR("/"), b,
 			     r->traffic->via);
-	upstream_ask(a->upstream, buf_lstr(&bytes), ASK_TIMEOUT_S, &ask_ops, a);
+	upstream_probe(a->upstream, buf_lstr(&bytes), PROBE_TIMEOUT_S,
+		       &probe_ops, a);
 	buf_free(&bytes);
 }
--- a/traffic/request_log.c
+++ b/traffic/request_log.c
@@ -15,7 +15,7 @@
 static void write_sent(const struct request *r, const struct send *s,
 		       unsigned number, int64_t now_ms)
 {
-	const struct send_basis *b = &s->basis;
+	const struct send_decision *b = &s->decision;
 
 	mp_event(EV_REQUEST_SENT, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64
@@ -28,16 +28,17 @@
 		 s->backend->entry.id, s->backend->entry.dc, number,
 		 now_ms - s->sent_ms, b->load.running, b->load.waiting,
 		 b->load.slots, b->load.slowdown_pct, b->load_age_ms,
-		 s->estimate_ms, b->trouble, b->asked, b->answered, b->spent_ms,
-		 b->left_ms, b->retries_left, b->pressed);
+		 s->estimate_ms, b->failure_score, b->probes_sent,
+		 b->probes_answered, b->spent_ms, b->left_ms, b->retries_left,
+		 b->saturated);
 }
 
 /* Writes what was held back; from now on each line is written at once. */
-static void tell(struct request *r, int64_t now_ms)
+static void flush_deferred(struct request *r, int64_t now_ms)
 {
-	if (!r->untold)
+	if (!r->log_deferred)
 		return;
-	r->untold = false;
+	r->log_deferred = false;
 	for (unsigned i = 0; i < r->nsends; i++)
 		write_sent(r, &r->sends[i], i + 1, now_ms);
 }
@@ -50,17 +51,17 @@
 {
 	const struct backend *b = s->backend;
 
-	s->basis = (struct send_basis){
+	s->decision = (struct send_decision){
 		.load = b->load,
 		.load_age_ms = b->load.at_ms ? now_ms - b->load.at_ms : -1,
-		.trouble = outlier_trouble(b, now_ms),
+		.failure_score = outlier_trouble(b, now_ms),
 		.spent_ms = r->spent_before_ms + (double)(now_ms - r->start_ms),
 		.retries_left = request_retries_left(r),
-		.left_ms = r->due_ms - now_ms,
-		.asked = r->asked,
-		.answered = r->answered,
-		.pressed = request_is_pressed(r, now_ms)};
-	if (!r->untold)
+		.left_ms = r->deadline_ms - now_ms,
+		.probes_sent = r->probes_sent,
+		.probes_answered = r->probes_answered,
+		.saturated = request_service_is_saturated(r, now_ms)};
+	if (!r->log_deferred)
 		write_sent(r, s, r->nsends, now_ms);
 }
 
@@ -69,13 +70,13 @@
 {
 	int64_t now_ms = clock_ms();
 
-	tell(r, now_ms);
+	flush_deferred(r, now_ms);
 	mp_event(EV_REQUEST_RETRY, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64 " why=%s last=%s sends=%u of=%u "
 		 "left_ms=%" G_GINT64_FORMAT " retries_left=%.1f",
 		 (int)r->call.id.len, r->call.id.ptr, r->digest, why,
 		 r->sends[r->nsends - 1].backend->entry.id, r->nsends,
-		 r->route->max_attempts, r->due_ms - now_ms,
+		 r->route->max_attempts, r->deadline_ms - now_ms,
 		 request_retries_left(r));
 }
 
@@ -112,7 +113,7 @@
 {
 	int64_t now_ms = clock_ms();
 
-	tell(r, now_ms);
+	flush_deferred(r, now_ms);
 	mp_event(EV_REQUEST_BROKEN, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64 " backend=%s service=%s err=%s "
 		 "at_server_ms=%" G_GINT64_FORMAT " beside=%u draining=%d "
@@ -131,7 +132,7 @@
 	struct availability a =
 		backend_availability(s->backend, SEND_COMMITTED, now_ms);
 
-	tell(r, now_ms);
+	flush_deferred(r, now_ms);
 	mp_event(EV_REQUEST_WITHDRAWN, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64 " backend=%s hold=%s "
 		 "chosen_ago_ms=%" G_GINT64_FORMAT,
@@ -139,11 +140,11 @@
 		 s->backend->entry.id, hold_name(a.hold), now_ms - s->sent_ms);
 }
 
-/* request_log_foreign() names an answer that belongs to another request. */
-void request_log_foreign(struct request *r, const struct send *s,
-			 struct lstr answered)
+/* request_log_mismatched() names an answer that belongs to another request. */
+void request_log_mismatched(struct request *r, const struct send *s,
+			    struct lstr answered)
 {
-	tell(r, clock_ms());
+	flush_deferred(r, clock_ms());
 	mp_event(EV_CALL_FOREIGN_ANSWER, G_LOG_LEVEL_WARNING,
 		 "id=%.*s backend=%s answered=%.*s; skipped",
 		 (int)r->call.id.len, r->call.id.ptr, s->backend->entry.id,
@@ -151,8 +152,8 @@
 }
 
 /* One that was served in time needs no explanation. */
-static bool went_well(const struct request *r, enum mp_event ev,
-		      unsigned status, int64_t now_ms)
+static bool served_on_time(const struct request *r, enum mp_event ev,
+			   unsigned status, int64_t now_ms)
 {
 	return ev == EV_REQUEST_DONE && status / 100 == 2 &&
 	       now_ms - r->start_ms <= r->route->target_ms;
@@ -165,11 +166,11 @@
 	const struct send *last = r->nsends ? &r->sends[r->nsends - 1] : NULL;
 	int64_t now_ms = clock_ms();
 
-	if (r->untold && went_well(r, ev, status, now_ms)) {
+	if (r->log_deferred && served_on_time(r, ev, status, now_ms)) {
 		mp_log_withheld(r->nsends + 1);
 		return;
 	}
-	tell(r, now_ms);
+	flush_deferred(r, now_ms);
 	mp_event(ev, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64
 		 " route=%.*s version=%" G_GUINT64_FORMAT
@@ -181,8 +182,8 @@
 		 (int)r->route->name.len, r->route->name.ptr,
 		 r->config->version, status, why, r->nsends,
 		 last ? last->backend->entry.id : "-", now_ms - r->start_ms,
-		 last ? now_ms - last->sent_ms : 0, r->asked, r->answered,
-		 r->spent_before_ms, r->stats->patience.limit_ms,
-		 retry_s * 1000, r->service->waiting.length,
-		 request_retries_left(r));
+		 last ? now_ms - last->sent_ms : 0, r->probes_sent,
+		 r->probes_answered, r->spent_before_ms,
+		 r->stats->patience.limit_ms, retry_s * 1000,
+		 r->service->waiting.length, request_retries_left(r));
 }
--- a/traffic/request_wait.c
+++ b/traffic/request_queue.c
@@ -4,9 +4,9 @@
 #include "core/limit_room.h"
 #include "core/mechanisms.h"
 #include "misc/clock.h"
-#include "traffic/ask.h"
+#include "traffic/probe.h"
 #include "traffic/limit_sends.h"
-#include "traffic/request_wait.h"
+#include "traffic/request_queue.h"
 
 enum {
 	/*
@@ -14,10 +14,10 @@
 	 * twice as long and so on: the answers to this instance's other
 	 * requests tell of room sooner, and at no cost.
 	 */
-	WAIT_MS = 12,
-	WAITS_MAX = 6, /* doublings */
+	RECHECK_MS = 12,
+	RECHECK_DOUBLINGS_MAX = 6, /* doublings */
 	/* A late second send is tried again after this. */
-	RESCUE_AGAIN_MS = 150,
+	RESCUE_RETRY_MS = 150,
 };
 
 /* The more important first, then the older. */
@@ -40,8 +40,8 @@
 	r->queued = true;
 }
 
-/* request_wait_end() takes a request out of the queue, if it stands there. */
-void request_wait_end(struct request *r)
+/* request_queue_remove() takes a request out of the queue, if it stands there. */
+void request_queue_remove(struct request *r)
 {
 	if (r->queued)
 		g_queue_remove(&r->service->waiting, r);
@@ -49,73 +49,74 @@
 }
 
 /* No server for a second send now: again when it may be late. */
-static void plan_rescue(struct request *r, int64_t now_ms)
+static void schedule_rescue(struct request *r, int64_t now_ms)
 {
 	const struct send *first = &r->sends[r->nsends - 1];
 	int64_t at = first->sent_ms +
 		     rescue_delay_ms(first->estimate_ms, r->route->target_ms);
 
-	r->hedge_ms = r->rescue ? now_ms + RESCUE_AGAIN_MS : at;
+	r->hedge_at_ms = r->rescue ? now_ms + RESCUE_RETRY_MS : at;
 	if (!mechanisms.rescue)
-		r->hedge_ms = 0;
+		r->hedge_at_ms = 0;
 	r->rescue = true;
 }
 
 /* Ends a request that found no room; another copy of it may still be out. */
 static void give_up(struct request *r)
 {
-	bool alone = !request_is_out(r);
+	bool alone = !request_is_in_flight(r);
 
 	r->traffic->counters.no_room++;
-	request_place_end(r);
+	request_select_end(r);
 	if (!alone)
-		request_arm(r);
-	else if (r->undenied)
+		request_arm_timer(r);
+	else if (r->maybe_executed)
 		request_fail(r, 502, "no server left");
 	else
 		request_refuse(r, "no room");
 }
 
 /* How long it may look for room in all, since it began to. */
-static int64_t wait_end_ms(const struct request *r, int64_t now_ms)
+static int64_t wait_deadline_ms(const struct request *r, int64_t now_ms)
 {
-	struct admit_request view = request_view(r, now_ms);
+	struct admit_request view = request_admission_view(r, now_ms);
 
-	return r->placing_since_ms + (int64_t)admit_wait_ms(&view);
+	return r->select_start_ms + (int64_t)admit_wait_ms(&view);
 }
 
 /* Whether a request with so many before it gets its turn while it may wait. */
-static bool gets_turn(const struct request *r, const struct limit_room *room,
-		      unsigned before, int64_t now_ms)
+static bool served_in_time(const struct request *r,
+			   const struct limit_room *room, unsigned before,
+			   int64_t now_ms)
 {
 	double wait = limit_room_wait_ms(room, before);
 
-	return (double)now_ms + wait <= (double)wait_end_ms(r, now_ms);
+	return (double)now_ms + wait <= (double)wait_deadline_ms(r, now_ms);
 }
 
 /* Whether it waits for what peers may give up for it. */
-static bool awaits_grant(const struct request *r, int64_t now_ms)
+static bool is_awaiting_grant(const struct request *r, int64_t now_ms)
 {
 	return r->grant_until_ms && now_ms < r->grant_until_ms;
 }
 
 /* A request waits once for the answers to a question. */
-static bool may_get_grant(struct request *r, int64_t now_ms)
+static bool begin_grant_wait(struct request *r, int64_t now_ms)
 {
 	int64_t until = limit_sends_want(r->traffic, r->service, now_ms);
 
 	if (r->grant_until_ms || now_ms >= until ||
-	    now_ms >= wait_end_ms(r, now_ms))
+	    now_ms >= wait_deadline_ms(r, now_ms))
 		return false;
 	r->grant_until_ms = until;
 	return true;
 }
 
 /* The last of those behind r that gets no turn in time; NULL: there is none. */
-static struct request *last_hopeless(const GQueue *waiting,
-				     const struct request *r,
-				     const struct limit_room *room,
-				     int64_t now_ms)
+static struct request *last_unservable(const GQueue *waiting,
+				       const struct request *r,
+				       const struct limit_room *room,
+				       int64_t now_ms)
 {
 	unsigned before = waiting->length;
 
@@ -123,9 +124,9 @@
 		struct request *last = l->data;
 
 		before--;
-		if (awaits_grant(last, now_ms))
+		if (is_awaiting_grant(last, now_ms))
 			continue;
-		return gets_turn(last, room, before, now_ms) ? NULL : last;
+		return served_in_time(last, room, before, now_ms) ? NULL : last;
 	}
 	return NULL;
 }
@@ -135,12 +136,12 @@
  * hear so now. A refusal may let a caller's next request in, which waits as well
  * and may end any of these, r too: so the queue is looked at anew each time.
  */
-static void refuse_hopeless(const GQueue *waiting, const struct request *r,
-			    const struct limit_room *room, int64_t now_ms)
+static void refuse_unservable(const GQueue *waiting, const struct request *r,
+			      const struct limit_room *room, int64_t now_ms)
 {
 	struct request *last;
 
-	while ((last = last_hopeless(waiting, r, room, now_ms)))
+	while ((last = last_unservable(waiting, r, room, now_ms)))
 		give_up(last);
 }
 
@@ -151,24 +152,25 @@
 static void wait_for_limit(struct request *r, const struct limit_room *room,
 			   int64_t now_ms)
 {
-	int64_t until = now_ms + (room->next_ms > 0 ? room->next_ms : WAIT_MS);
+	int64_t until =
+		now_ms + (room->next_ms > 0 ? room->next_ms : RECHECK_MS);
 	unsigned before;
 
 	enqueue(r);
 	before = (unsigned)g_queue_index(&r->service->waiting, r);
-	if (!gets_turn(r, room, before, now_ms)) {
-		if (!may_get_grant(r, now_ms)) {
+	if (!served_in_time(r, room, before, now_ms)) {
+		if (!begin_grant_wait(r, now_ms)) {
 			give_up(r);
 			return;
 		}
 		until = r->grant_until_ms;
 	}
-	r->round = 0;
+	r->probe_round = 0;
 	r->wait_until_ms = until;
-	if (r->waits < WAITS_MAX)
-		r->waits++;
-	request_arm(r);
-	refuse_hopeless(&r->service->waiting, r, room, now_ms);
+	if (r->wait_count < RECHECK_DOUBLINGS_MAX)
+		r->wait_count++;
+	request_arm_timer(r);
+	refuse_unservable(&r->service->waiting, r, room, now_ms);
 }
 
 /*
@@ -178,49 +180,49 @@
 static void wait_for_resume(struct request *r, int64_t resume_ms,
 			    int64_t now_ms)
 {
-	if (resume_ms > wait_end_ms(r, now_ms)) {
+	if (resume_ms > wait_deadline_ms(r, now_ms)) {
 		give_up(r);
 		return;
 	}
-	r->round = 0;
+	r->probe_round = 0;
 	r->wait_until_ms = resume_ms;
 	enqueue(r);
-	request_arm(r);
+	request_arm_timer(r);
 }
 
 /* Waits a moment for room, while it may. */
 static void wait_for_room(struct request *r, int64_t now_ms)
 {
-	int64_t end = wait_end_ms(r, now_ms);
+	int64_t end = wait_deadline_ms(r, now_ms);
 
 	if (now_ms >= end || r->service->backends->len == 0) {
 		give_up(r);
 		return;
 	}
-	r->round = 0;
-	r->wait_until_ms = now_ms + (WAIT_MS << r->waits);
+	r->probe_round = 0;
+	r->wait_until_ms = now_ms + (RECHECK_MS << r->wait_count);
 	if (r->wait_until_ms > end)
 		r->wait_until_ms = end;
-	if (r->waits < WAITS_MAX)
-		r->waits++;
+	if (r->wait_count < RECHECK_DOUBLINGS_MAX)
+		r->wait_count++;
 	enqueue(r);
-	request_arm(r);
+	request_arm_timer(r);
 }
 
-/* request_wait() is called when nobody has room: it waits or gives up. */
-void request_wait(struct request *r, int64_t now_ms)
+/* request_queue_wait() is called when nobody has room: it waits or gives up. */
+void request_queue_wait(struct request *r, int64_t now_ms)
 {
-	struct admit_request view = request_view(r, now_ms);
+	struct admit_request view = request_admission_view(r, now_ms);
 	struct limit_room room = limit_room(r->service, now_ms);
 	int64_t resume_ms = service_resume_ms(r->service, now_ms);
 
-	if (admit_can_be_on_time(&view) && r->placement != PLACE_HEDGE)
+	if (admit_can_be_on_time(&view) && r->select_reason != SELECT_HEDGE)
 		r->service->pressed_ms = now_ms;
-	ask_release(r);
-	if (r->placement == PLACE_HEDGE) {
-		request_place_end(r);
-		plan_rescue(r, now_ms);
-		request_arm(r);
+	probes_release(r);
+	if (r->select_reason == SELECT_HEDGE) {
+		request_select_end(r);
+		schedule_rescue(r, now_ms);
+		request_arm_timer(r);
 	} else if (resume_ms) {
 		wait_for_resume(r, resume_ms, now_ms);
 	} else if (room.all) {
@@ -231,10 +233,10 @@
 }
 
 /*
- * request_wait_is_behind() tells whether others wait for the limits of servers that
+ * request_queue_is_behind() tells whether others wait for the limits of servers that
  * are all in need, and go before r: what is earned next is theirs.
  */
-bool request_wait_is_behind(const struct request *r, int64_t now_ms)
+bool request_queue_is_behind(const struct request *r, int64_t now_ms)
 {
 	const struct request *first = g_queue_peek_head(&r->service->waiting);
 
@@ -243,10 +245,10 @@
 }
 
 /*
- * request_wait_yields() lets the first in the queue go before r, whose wait is
+ * request_queue_yield() lets the first in the queue go before r, whose wait is
  * over, when a server in need takes one more; once, as the first may not want it.
  */
-bool request_wait_yields(struct request *r, int64_t now_ms)
+bool request_queue_yield(struct request *r, int64_t now_ms)
 {
 	struct request *first = g_queue_peek_head(&r->service->waiting);
 	struct limit_room room;
@@ -260,7 +262,7 @@
 	r->wait_until_ms = now_ms + 1;
 	if (first->wait_until_ms) {
 		first->wait_until_ms = now_ms;
-		request_arm(first);
+		request_arm_timer(first);
 	}
 	return true;
 }
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -8,13 +8,13 @@
 #include "traffic/end_check.h"
 #include "traffic/limit_sends.h"
 #include "traffic/request.h"
-#include "traffic/share.h"
+#include "traffic/inflight_report.h"
 
 /* Weights of outcomes in the failure memory of a server. */
-static const double TROUBLE_BROKEN = 1.0;  /* reset, cut or no message */
-static const double TROUBLE_FAILED = 1.0;  /* its own 5xx */
-static const double TROUBLE_TIMEOUT = 1.0; /* no answer in time */
-static const double RELIEF_SERVED = -0.7;
+static const double FAILURE_BROKEN = 1.0;	/* reset, cut or no message */
+static const double FAILURE_SERVER_ERROR = 1.0; /* its own 5xx */
+static const double FAILURE_TIMEOUT = 1.0;	/* no answer in time */
+static const double SUCCESS_RELIEF = -0.7;
 
 /* Ends one send; its connection is already given away or closed. */
 static void end_send(struct send *s)
@@ -27,7 +27,7 @@
 			   clock_boot_ms());
 	limit_sends_ended(s, clock_ms());
 	s->backend->in_flight--;
-	share_changed(t, s->backend->service);
+	inflight_report_changed(t, s->backend->service);
 }
 
 /*
@@ -53,65 +53,67 @@
 	if (exchange_is_for(info, s->request->call.id))
 		return HTTP_TAKE;
 	s->request->traffic->counters.foreign_answers++;
-	request_log_foreign(s->request, s, info->id);
+	request_log_mismatched(s->request, s, info->id);
 	return HTTP_SKIP;
 }
 
 /* Learns from an answer how long work takes, and there. */
-static void learn(struct request *r, const struct send *s, int64_t now_ms)
+static void record_duration(struct request *r, const struct send *s,
+			    int64_t now_ms)
 {
-	learn_answer(&s->backend->service->model, &r->stats->work, &s->start,
+	learn_answer(&s->backend->service->model, &r->stats->work, &s->server,
 		     (double)(now_ms - s->sent_ms), now_ms);
 }
 
 /* Goes on after a send that brought no answer for the caller. */
-static void go_on(struct request *r, unsigned status, const char *why)
+static void after_failed_send(struct request *r, unsigned status,
+			      const char *why)
 {
-	if (request_is_out(r) || r->placement != PLACE_NONE) {
-		request_arm(r);
+	if (request_is_in_flight(r) || r->select_reason != SELECT_NONE) {
+		request_arm_timer(r);
 		return;
 	}
-	if (request_is_barred(r)) {
-		request_bar(r);
+	if (request_is_quarantined(r)) {
+		request_reject_quarantined(r);
 		return;
 	}
 	/* Nobody waits for it any more: the outcome is all that is left. */
 	if (r->conn && request_may_send_again(r)) {
 		request_log_retry(r, why);
-		request_place(r, PLACE_RETRY);
+		request_select(r, SELECT_RETRY);
 		return;
 	}
-	if (r->undenied)
+	if (r->maybe_executed)
 		request_fail(r, status, why);
 	else
 		request_refuse(r, why);
 }
 
 /* The server says that it has not run the request. */
-static void on_not_run(struct request *r, struct send *s, unsigned status)
+static void on_not_executed(struct request *r, struct send *s, unsigned status)
 {
-	r->undenied--;
+	r->maybe_executed--;
 	if (status == 421)
 		backend_set_remove(&r->traffic->backends, s->backend->entry.id);
-	go_on(r, 503, "server full");
+	after_failed_send(r, 503, "server full");
 }
 
 /* The server has run the request and failed. */
 static void on_server_error(struct request *r, struct send *s,
 			    struct http_message *m, int64_t now_ms)
 {
-	outlier_note(s->backend, TROUBLE_FAILED, now_ms);
+	outlier_note(s->backend, FAILURE_SERVER_ERROR, now_ms);
 	if (r->route->idempotent && request_may_send_again(r)) {
 		http_message_free(m);
-		go_on(r, 502, "server error");
+		after_failed_send(r, 502, "server error");
 		return;
 	}
-	if (request_is_out(r)) {
+	if (request_is_in_flight(r)) {
 		http_message_free(m);
-		request_arm(r);
+		request_arm_timer(r);
 		return;
 	}
-	request_answer(r, m);
+	request_forward_response(r, m);
 }
 
 static void send_response(void *owner, struct http_message *m,
@@ -131,12 +133,12 @@
 	end_send(s);
 	upstream_put(u, now_ms);
 	if (place_has_room(s->backend, now_ms))
-		request_use_room(r->traffic, s->backend);
+		request_offer_capacity(r->traffic, s->backend);
 	if (info->not_run) {
 		unsigned status = m->status;
 
 		http_message_free(m);
-		on_not_run(r, s, status);
+		on_not_executed(r, s, status);
 		return;
 	}
 	end_check_answered(r->traffic, r->digest);
@@ -144,14 +146,14 @@
 	if (m->status / 100 == 2 && !info->sealed) {
 		/* Not the server's own answer, whatever it looks like. */
 		http_message_free(m);
-		outlier_note(s->backend, TROUBLE_BROKEN, now_ms);
-		go_on(r, 502, "answer without receipt");
+		outlier_note(s->backend, FAILURE_BROKEN, now_ms);
+		after_failed_send(r, 502, "answer without receipt");
 	} else if (m->status >= 500) {
 		on_server_error(r, s, m, now_ms);
 	} else {
-		outlier_note(s->backend, RELIEF_SERVED, now_ms);
-		learn(r, s, now_ms);
-		request_answer(r, m);
+		outlier_note(s->backend, SUCCESS_RELIEF, now_ms);
+		record_duration(r, s, now_ms);
+		request_forward_response(r, m);
 	}
 }
 
@@ -171,22 +173,22 @@
 		budget_give_back(&r->service->budget);
 	limit_sends_ended(s, now_ms);
 	s->backend->in_flight--;
-	share_changed(r->traffic, s->backend->service);
-	r->undenied--;
+	inflight_report_changed(r->traffic, s->backend->service);
+	r->maybe_executed--;
 	r->stats->sends--;
 	if (s->extra)
 		r->service->account.spent[s->cause]--;
 	if (last) {
 		backend_unref(s->backend);
 		r->nsends--;
-		r->hedge_ms = 0;
+		r->hedge_at_ms = 0;
 	}
 	if (r->nsends == 0 && r->conn) {
-		request_place_end(r);
-		request_place(r, PLACE_FIRST);
+		request_select_end(r);
+		request_select(r, SELECT_FIRST);
 		return;
 	}
-	go_on(r, 503, "server takes nothing now");
+	after_failed_send(r, 503, "server takes nothing now");
 }
 
 static void send_failed(void *owner, int err, bool sent)
@@ -206,13 +208,13 @@
 			end_check_begin(r->traffic, s->backend, r->digest);
 	}
 	outlier_note(s->backend,
-		     err == -ETIMEDOUT ? TROUBLE_TIMEOUT : TROUBLE_BROKEN,
+		     err == -ETIMEDOUT ? FAILURE_TIMEOUT : FAILURE_BROKEN,
 		     clock_ms());
 	end_send(s);
 	if (!sent)
-		r->undenied--;
-	go_on(r, err == -ETIMEDOUT ? 504 : 502,
-	      err == -ETIMEDOUT ? "timeout" : "connection broke");
+		r->maybe_executed--;
+	after_failed_send(r, err == -ETIMEDOUT ? 504 : 502,
+			  err == -ETIMEDOUT ? "timeout" : "connection broke");
 }
 
 static const struct upstream_ops send_ops = {send_judge, send_response,
@@ -234,8 +236,8 @@
 }
 
 /* When a second server gets the request, if none has answered; 0: never. */
-static int64_t second_send_at(struct request *r, const struct send *s,
-			      int64_t now_ms)
+static int64_t hedge_time(struct request *r, const struct send *s,
+			  int64_t now_ms)
 {
 	if (!r->route->idempotent || r->nsends != 1)
 		return 0;
@@ -256,7 +258,7 @@
 	struct send *s = &r->sends[r->nsends];
 	enum extra_cause cause = request_extra_cause(r);
 	int64_t now_ms = clock_ms();
-	int64_t left = r->due_ms - now_ms;
+	int64_t left = r->deadline_ms - now_ms;
 	struct buf bytes = {0};
 
 	r->nsends++;
@@ -267,12 +269,12 @@
 			   .extra = r->nsends > 1,
 			   .cause = cause,
 			   .sent_ms = now_ms,
-			   .start = place_server_view(b, now_ms),
+			   .server = place_server_view(b, now_ms),
 			   .estimate_ms = place_estimate_ms(
 				   b, r->stats->work.usual_ms, now_ms)};
 	b->in_flight++;
-	share_changed(r->traffic, b->service);
-	r->undenied++;
+	inflight_report_changed(r->traffic, b->service);
+	r->maybe_executed++;
 	request_log_sent(r, s, now_ms);
 	limit_sends_take(s);
 	/* Its report is older than this request. */
@@ -280,11 +282,11 @@
 		b->load.running++;
 	exchange_write_request(&bytes, r->message, &r->call, b,
 			       left > 1 ? (uint32_t)left : 1, r->traffic->via);
-	r->hedge_ms = second_send_at(r, s, now_ms);
+	r->hedge_at_ms = hedge_time(r, s, now_ms);
 	/* The request's own time limit ends it; this is only a backstop. */
 	upstream_exchange(u, buf_lstr(&bytes), (double)left / 1000 + 1,
 			  lstr_eq(r->message->method, LSTR("HEAD")), &send_ops,
 			  s);
 	buf_free(&bytes);
-	request_arm(r);
+	request_arm_timer(r);
 }
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -15,14 +15,14 @@
 #include "traffic/limits.h"
 #include "traffic/metrics.h"
 #include "traffic/request.h"
-#include "traffic/share.h"
+#include "traffic/inflight_report.h"
 #include "traffic/traffic.h"
 #include "traffic/upstream.h"
 
 enum {
 	/* Until the first version names the callers' limits. */
-	START_HEAD_MAX = 16 * 1024,
-	START_BODY_MAX = 64 << 20,
+	DEFAULT_HEAD_MAX = 16 * 1024,
+	DEFAULT_BODY_MAX = 64 << 20,
 	/*
 	 * A stopping instance takes requests this long: callers keep an
 	 * address for some seconds after they were told of another.
@@ -35,15 +35,15 @@
 	STOP_RESERVE_MS = 400,
 };
 
-static const double START_HEAD_TIMEOUT_S = 3;
-static const double START_IDLE_TIMEOUT_S = 15;
+static const double DEFAULT_HEAD_TIMEOUT_S = 3;
+static const double DEFAULT_IDLE_TIMEOUT_S = 15;
 
 /* Time that a question to this instance's own services may take. */
-static const double SERVICE_TIMEOUT_S = 5;
+static const double LOCAL_HEAD_TIMEOUT_S = 5;
 
-/* traffic_class() finds the statistics of a kind of request. */
-struct class_stats *traffic_class(struct traffic *t, const char *service,
-				  uint32_t target_ms)
+/* traffic_class_stats() finds the statistics of a kind of request. */
+struct class_stats *traffic_class_stats(struct traffic *t, const char *service,
+					uint32_t target_ms)
 {
 	char name[BACKEND_NAME_MAX + 16];
 	struct class_stats *c;
@@ -60,10 +60,10 @@
 }
 
 /*
- * traffic_servers() counts the backend servers that requests may go to: an
+ * traffic_count_backends() counts the backend servers that requests may go to: an
  * entry of the list whose service no version names brings none.
  */
-unsigned traffic_servers(struct traffic *t)
+unsigned traffic_count_backends(struct traffic *t)
 {
 	unsigned n = 0;
 
@@ -86,7 +86,7 @@
 static void on_ready(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct traffic *t = priv;
-	bool ready = t->config && !t->stopping && traffic_servers(t) > 0;
+	bool ready = t->config && !t->stopping && traffic_count_backends(t) > 0;
 
 	http_message_free(m);
 	reply_plain(c, ready ? 200 : 503, LSTR(""), LSTR(""));
@@ -108,7 +108,7 @@
 		reply_plain(c, 404, LSTR(""), LSTR(""));
 		return;
 	}
-	t->counters.directory++;
+	t->counters.directory_answers++;
 	if (t->peers.named)
 		n = advise(
 			(const struct peer_brief *)(void *)t->peers.named->data,
@@ -132,10 +132,12 @@
 	buf_free(&body);
 }
 
-static const struct http_server_ops front_ops = {request_begin, request_gone};
+static const struct http_server_ops front_ops = {request_receive,
+						 request_caller_left};
 static const struct http_server_ops ready_ops = {on_ready, NULL};
 static const struct http_server_ops directory_ops = {on_directory, NULL};
-static const struct http_server_ops own_ops = {own_request, request_gone};
+static const struct http_server_ops own_ops = {own_request,
+					       request_caller_left};
 static const struct http_server_ops metrics_ops = {on_metrics, NULL};
 
 static void on_backend_gone(void *priv, struct backend *b, bool ended)
@@ -147,19 +149,20 @@
 }
 
 /* The callers' limits stand in the configuration. */
-static void take_limits(struct traffic *t, const struct config_limits *l)
+static void apply_caller_limits(struct traffic *t,
+				const struct config_limits *l)
 {
 	if (l->head_max)
-		t->front.limits.head_max = l->head_max;
+		t->caller_server.limits.head_max = l->head_max;
 	if (l->body_max)
-		t->front.limits.body_max = l->body_max;
+		t->caller_server.limits.body_max = l->body_max;
 	if (l->head_timeout_ms)
-		t->front.head_timeout_s = l->head_timeout_ms / 1000.0;
+		t->caller_server.head_timeout_s = l->head_timeout_ms / 1000.0;
 	if (l->idle_timeout_ms)
-		t->front.idle_timeout_s = l->idle_timeout_ms / 1000.0;
+		t->caller_server.idle_timeout_s = l->idle_timeout_ms / 1000.0;
 }
 
-static void take_policies(struct traffic *t)
+static void apply_policies(struct traffic *t)
 {
 	for (size_t i = 0; i < t->config->nservices; i++) {
 		const struct service_config *sc = &t->config->services[i];
@@ -169,7 +172,7 @@
 	}
 }
 
-static void take_drained(struct traffic *t)
+static void apply_drained(struct traffic *t)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -182,7 +185,7 @@
 	}
 }
 
-static void take_config(struct traffic *t, struct config *c)
+static void apply_config(struct traffic *t, struct config *c)
 {
 	mp_invariant(!t->config || c->version >= t->config->version,
 		     "configuration went back from %" G_GUINT64_FORMAT
@@ -190,12 +193,12 @@
 		     t->config->version, c->version);
 	config_unref(t->config);
 	t->config = c;
-	take_limits(t, &c->limits);
-	take_policies(t);
-	take_drained(t);
+	apply_caller_limits(t, &c->limits);
+	apply_policies(t);
+	apply_drained(t);
 }
 
-static void take_change(struct traffic *t, struct backend_change *c)
+static void apply_backend_change(struct traffic *t, struct backend_change *c)
 {
 	if (c->removed) {
 		backend_set_remove(&t->backends, c->entry.id);
@@ -204,11 +207,12 @@
 		limits_listed(t, c->entry.id);
 	}
 	if (t->config && t->config->ndrained)
-		take_drained(t);
+		apply_drained(t);
 	g_free(c);
 }
 
-static void on_stop_check(struct ev_loop *loop, ev_timer *timer, int revents)
+static void on_shutdown_timer(struct ev_loop *loop, ev_timer *timer,
+			      int revents)
 {
 	struct traffic *t = timer->data;
 	int64_t since = clock_ms() - t->stopping_ms;
@@ -216,11 +220,12 @@
 
 	if (since < STOP_ACCEPT_MS && since < grace / 2)
 		return;
-	http_server_stop_listening(&t->front);
-	http_server_stop_listening(&t->own);
-	http_server_close_idle(&t->front);
-	http_server_close_idle(&t->own);
-	if ((http_server_busy(&t->front) || http_server_busy(&t->own)) &&
+	http_server_stop_listening(&t->caller_server);
+	http_server_stop_listening(&t->own_server);
+	http_server_close_idle(&t->caller_server);
+	http_server_close_idle(&t->own_server);
+	if ((http_server_busy(&t->caller_server) ||
+	     http_server_busy(&t->own_server)) &&
 	    since < grace - STOP_RESERVE_MS)
 		return;
 	mp_event(EV_STOPPED, G_LOG_LEVEL_MESSAGE, "open_requests=%u",
@@ -228,20 +233,20 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-static void begin_stop(struct traffic *t)
+static void begin_shutdown(struct traffic *t)
 {
 	t->stopping = true;
 	t->stopping_ms = clock_ms();
-	t->front.last_answers = true;
-	t->own.last_answers = true;
-	ev_timer_init(&t->stop_timer, on_stop_check, STOP_CHECK_MS / 1000.0,
+	t->caller_server.last_answers = true;
+	t->own_server.last_answers = true;
+	ev_timer_init(&t->stop_timer, on_shutdown_timer, STOP_CHECK_MS / 1000.0,
 		      STOP_CHECK_MS / 1000.0);
 	t->stop_timer.data = t;
 	ev_timer_start(t->loop, &t->stop_timer);
 }
 
 /* The allowances of all instances together. */
-static void take_bounds(struct traffic *t, const struct bounds *b)
+static void apply_bounds(struct traffic *t, const struct bounds *b)
 {
 	t->bounds = *b;
 	t->budget_rule.ratio = b->retry_ratio;
@@ -254,34 +259,34 @@
  * The part of an instance in what all share is by the most that this lifetime
  * knew of at once: one that is cut off hears fewer, and they all live.
  */
-static void take_peers(struct traffic *t, const struct peer_view *v)
+static void apply_peers(struct traffic *t, const struct peer_view *v)
 {
 	if (t->peers.named)
 		g_array_unref(t->peers.named);
 	if (t->peers.sharers)
 		g_array_unref(t->peers.sharers);
 	t->peers = *v;
-	if (v->instances > t->most_instances)
-		t->most_instances = v->instances;
-	t->budget_rule.instances = t->most_instances;
-	t->ask_rule.instances = t->most_instances;
+	if (v->instances > t->max_instances)
+		t->max_instances = v->instances;
+	t->budget_rule.instances = t->max_instances;
+	t->ask_rule.instances = t->max_instances;
 	limits_peers_changed(t);
 	drain_news_peers_changed(t);
 }
 
-static void receive(void *priv, struct mail *m)
+static void on_mail(void *priv, struct mail *m)
 {
 	struct traffic *t = priv;
 
 	switch ((enum to_traffic)m->kind) {
 	case TO_TRAFFIC_CONFIG:
-		take_config(t, m->data);
+		apply_config(t, m->data);
 		break;
 	case TO_TRAFFIC_BACKEND:
-		take_change(t, m->data);
+		apply_backend_change(t, m->data);
 		break;
 	case TO_TRAFFIC_PEERS:
-		take_peers(t, m->data);
+		apply_peers(t, m->data);
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_LOAD:
@@ -302,7 +307,7 @@
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_BOUNDS:
-		take_bounds(t, m->data);
+		apply_bounds(t, m->data);
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_VERDICT:
@@ -310,7 +315,7 @@
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_STOP:
-		begin_stop(t);
+		begin_shutdown(t);
 		break;
 	}
 }
@@ -329,29 +334,31 @@
 static int open_servers(struct traffic *t)
 {
 	const struct instance_settings *s = t->settings;
-	struct http_server *own[] = {&t->ready, &t->directory, &t->metrics,
-				     &t->own};
+	struct http_server *own[] = {&t->readiness_server, &t->directory_server,
+				     &t->metrics_server, &t->own_server};
 	int rc;
 
-	t->front.limits = (struct http_limits){START_HEAD_MAX, START_BODY_MAX};
-	t->front.head_timeout_s = START_HEAD_TIMEOUT_S;
-	t->front.idle_timeout_s = START_IDLE_TIMEOUT_S;
+	t->caller_server.limits =
+		(struct http_limits){DEFAULT_HEAD_MAX, DEFAULT_BODY_MAX};
+	t->caller_server.head_timeout_s = DEFAULT_HEAD_TIMEOUT_S;
+	t->caller_server.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
 	for (size_t i = 0; i < G_N_ELEMENTS(own); i++) {
-		own[i]->limits =
-			(struct http_limits){START_HEAD_MAX, START_HEAD_MAX};
-		own[i]->head_timeout_s = SERVICE_TIMEOUT_S;
-		own[i]->idle_timeout_s = START_IDLE_TIMEOUT_S;
+		own[i]->limits = (struct http_limits){DEFAULT_HEAD_MAX,
+						      DEFAULT_HEAD_MAX};
+		own[i]->head_timeout_s = LOCAL_HEAD_TIMEOUT_S;
+		own[i]->idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
 	}
-	rc = open_server(t, &t->front, s->callers, &front_ops);
+	rc = open_server(t, &t->caller_server, s->callers, &front_ops);
 	if (!rc)
-		rc = open_server(t, &t->ready, s->ready, &ready_ops);
+		rc = open_server(t, &t->readiness_server, s->ready, &ready_ops);
 	if (!rc)
-		rc = open_server(t, &t->directory, s->directory,
+		rc = open_server(t, &t->directory_server, s->directory,
 				 &directory_ops);
 	if (!rc)
-		rc = open_server(t, &t->metrics, s->metrics, &metrics_ops);
+		rc = open_server(t, &t->metrics_server, s->metrics,
+				 &metrics_ops);
 	if (!rc && s->own)
-		rc = open_server(t, &t->own, s->own, &own_ops);
+		rc = open_server(t, &t->own_server, s->own, &own_ops);
 	return rc;
 }
 
@@ -368,7 +375,7 @@
 	t->settings = s;
 	mechanisms = s->policy;
 	t->deploy = deploy;
-	t->control = control;
+	t->control_inbox = control;
 	t->control_view = view;
 	t->rand = g_rand_new();
 	t->lifetime = g_rand_int(t->rand);
@@ -379,15 +386,15 @@
 	/* Unknown yet: as many as a large system has. */
 	t->ask_rule.instances = 64;
 	t->budget_rule.instances = 1;
-	ask_budget_init(&t->asks, t->started_ms);
-	take_bounds(t, &s->bounds);
-	share_init(t);
+	ask_budget_init(&t->probe_budget, t->started_ms);
+	apply_bounds(t, &s->bounds);
+	inflight_report_init(t);
 	limits_init(t);
 	drain_news_init(t);
 	dedup_init(&t->dedup, DEDUP_KEYS_MAX);
 	quarantine_init(&t->quarantine);
 	backend_set_init(&t->backends, on_backend_gone, t);
-	mailbox_init(&t->in, t->loop, receive, t);
+	mailbox_init(&t->inbox, t->loop, on_mail, t);
 	return open_servers(t);
 }
 
@@ -397,6 +404,6 @@
 	struct traffic *t = traffic;
 
 	ev_run(t->loop, 0);
-	mailbox_send(t->control, FROM_TRAFFIC_STOPPED, NULL);
+	mailbox_send(t->control_inbox, FROM_TRAFFIC_STOPPED, NULL);
 	return NULL;
 }
--- a/traffic/traffic.h
+++ b/traffic/traffic.h
@@ -30,8 +30,8 @@
 };
 
 struct traffic_counters {
-	uint64_t asks, ask_failures, foreign_answers, no_config, no_route;
-	uint64_t no_room, directory;
+	uint64_t probes, probe_failures, foreign_answers, no_config, no_route;
+	uint64_t no_room, directory_answers;
 	uint64_t end_checks, ends_seen, quarantined;
 	uint64_t limits_bad;		       /* limits that are no number */
 	uint64_t limits_given, limits_granted; /* sends, to and by peers */
@@ -44,31 +44,32 @@
 	struct ev_loop *loop;
 	const struct instance_settings *settings; /* as at the start */
 	struct bounds bounds;			  /* in force */
-	struct mailbox in;
-	struct mailbox *control;
+	struct mailbox inbox;
+	struct mailbox *control_inbox;
 	const struct control_view *control_view;
-	struct http_server front, ready, directory, metrics, own;
+	struct http_server caller_server, readiness_server, directory_server,
+		metrics_server, own_server;
 	struct config *config;
 	struct backend_set backends;
 	struct peer_loads peer_loads;
 	ev_timer limits_timer, drain_timer;
-	ev_timer share_timer;
-	bool share_pending;
+	ev_timer inflight_report_timer;
+	bool inflight_report_pending;
 	struct peer_view peers;
-	unsigned most_instances; /* that lived at once, in this lifetime */
+	unsigned max_instances; /* that lived at once, in this lifetime */
 	struct budget_rule budget_rule;
 	struct ask_rule ask_rule;
-	struct ask_budget asks;
+	struct ask_budget probe_budget;
 	GRand *rand;
 	uint32_t lifetime; /* names this start of the process in logs */
 	char *via;	   /* and to servers; NULL: it isn't named to them */
 	int64_t started_ms;
 	struct patience_spread spread;
-	int64_t trouble_ms;  /* a request was last refused or failed then */
-	GHashTable *classes; /* name -> struct class_stats * */
+	int64_t last_failure_ms; /* a request was last refused or failed then */
+	GHashTable *classes;	 /* name -> struct class_stats * */
 	struct traffic_counters counters;
 	unsigned open_requests;
-	uint64_t picks; /* by policies, so far */
+	uint64_t policy_picks; /* by policies, so far */
 	struct dedup dedup;
 	struct quarantine quarantine;
 	const struct deploy *deploy; /* of the own interface, or NULL */
@@ -81,8 +82,8 @@
 		 const struct deploy *deploy, const struct control_view *view,
 		 struct mailbox *control);
 void *traffic_run(void *traffic);
-unsigned traffic_servers(struct traffic *t);
-struct class_stats *traffic_class(struct traffic *t, const char *service,
-				  uint32_t target_ms);
+unsigned traffic_count_backends(struct traffic *t);
+struct class_stats *traffic_class_stats(struct traffic *t, const char *service,
+					uint32_t target_ms);
 
 #endif
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -37,14 +37,14 @@
 		*p = u->next;
 }
 
-static void use(struct upstream *u)
+static void mark_in_use(struct upstream *u)
 {
 	u->idle = false;
 	u->next = u->backend->in_use;
 	u->backend->in_use = u;
 }
 
-static void release(struct upstream *u)
+static void free_upstream(struct upstream *u)
 {
 	unlink_upstream(u);
 	backend_unref(u->backend);
@@ -56,7 +56,7 @@
 {
 	struct upstream *u = priv;
 	struct feedback answer = {.sent_ms = u->sent_ms,
-				  .question = u->question};
+				  .question = u->is_probe};
 	enum http_verdict verdict;
 
 	exchange_read_answer(m, &answer.info);
@@ -98,7 +98,7 @@
 	const struct upstream_ops *ops = u->idle ? NULL : u->ops;
 	void *owner = u->owner;
 
-	release(u);
+	free_upstream(u);
 	if (ops)
 		ops->failed(owner, err, sent);
 }
@@ -106,7 +106,7 @@
 static const struct http_client_ops client_ops = {judge, on_response, on_failed,
 						  may_send, on_unsolicited};
 
-static struct upstream *open_new(struct traffic *t, struct backend *b)
+static struct upstream *open_connection(struct traffic *t, struct backend *b)
 {
 	struct http_limits limits = {.head_max = HEAD_MAX,
 				     .body_max = BODY_MAX};
@@ -120,7 +120,7 @@
 	opened++;
 	u->traffic = t;
 	u->backend = backend_ref(b);
-	use(u);
+	mark_in_use(u);
 	return u;
 }
 
@@ -134,10 +134,10 @@
 {
 	struct upstream *u = b->conns;
 
-	if (!u || u->used_ms < idle_since_ms)
-		return open_new(t, b);
+	if (!u || u->last_used_ms < idle_since_ms)
+		return open_connection(t, b);
 	unlink_upstream(u);
-	use(u);
+	mark_in_use(u);
 	return u;
 }
 
@@ -155,17 +155,17 @@
 {
 	u->ops = ops;
 	u->owner = owner;
-	u->question = false;
+	u->is_probe = false;
 	exchange(u, bytes, timeout_s, head_request);
 }
 
-/* upstream_ask() sends a question for health and load. */
-void upstream_ask(struct upstream *u, struct lstr bytes, double timeout_s,
-		  const struct upstream_ops *ops, void *owner)
+/* upstream_probe() sends a question for health and load. */
+void upstream_probe(struct upstream *u, struct lstr bytes, double timeout_s,
+		    const struct upstream_ops *ops, void *owner)
 {
 	u->ops = ops;
 	u->owner = owner;
-	u->question = true;
+	u->is_probe = true;
 	exchange(u, bytes, timeout_s, false);
 }
 
@@ -180,24 +180,24 @@
 	unlink_upstream(u);
 	u->ops = NULL;
 	u->owner = NULL;
-	u->used_ms = now_ms;
+	u->last_used_ms = now_ms;
 	u->idle = true;
 	u->next = u->backend->conns;
 	u->backend->conns = u;
 }
 
-static enum http_verdict detached_judge(void *owner,
-					const struct answer_info *info)
+static enum http_verdict ignore_response(void *owner,
+					 const struct answer_info *info)
 {
 	return HTTP_SKIP;
 }
 
-static void detached_failed(void *owner, int err, bool sent)
+static void ignore_failure(void *owner, int err, bool sent)
 {
 }
 
-static const struct upstream_ops detached_ops = {detached_judge, NULL,
-						 detached_failed};
+static const struct upstream_ops detached_ops = {ignore_response, NULL,
+						 ignore_failure};
 
 /*
  * upstream_drop() gives a connection up. A backend server drops the request that it
@@ -212,7 +212,7 @@
 		return;
 	}
 	http_client_close(&u->http);
-	release(u);
+	free_upstream(u);
 }
 
 /* upstream_drop_idle() closes the idle connections to b. */
--- a/traffic/upstream.h
+++ b/traffic/upstream.h
@@ -26,9 +26,9 @@
 	struct backend *backend;
 	struct upstream *next; /* of the server's, idle or in use */
 	bool idle;
-	int64_t used_ms;		/* its last answer */
+	int64_t last_used_ms;		/* its last answer */
 	int64_t sent_ms;		/* the request at hand */
-	bool question;			/* that is one for health and load */
+	bool is_probe;			/* that is one for health and load */
 	const struct upstream_ops *ops; /* the owner's */
 	void *owner;
 };
@@ -38,8 +38,8 @@
 void upstream_exchange(struct upstream *u, struct lstr bytes, double timeout_s,
 		       bool head_request, const struct upstream_ops *ops,
 		       void *owner);
-void upstream_ask(struct upstream *u, struct lstr bytes, double timeout_s,
-		  const struct upstream_ops *ops, void *owner);
+void upstream_probe(struct upstream *u, struct lstr bytes, double timeout_s,
+		    const struct upstream_ops *ops, void *owner);
 void upstream_put(struct upstream *u, int64_t now_ms);
 void upstream_drop(struct upstream *u);
 void upstream_drop_idle(struct backend *b);
