--- a/tests/bench.h
+++ b/tests/bench.h
@@ -1,6 +1,6 @@
 /*
- * A traffic side with callers and scripted backend servers, all on loopback
- * and on one loop, for tests. Servers misbehave as their script says.
+ * Test bench: the traffic thread's code with callers and scripted backend
+ * servers, all on loopback and on one event loop.
  */
 #ifndef MP_TESTS_BENCH_H
 #define MP_TESTS_BENCH_H
@@ -20,7 +20,7 @@
 
 enum {
 	BENCH_SERVERS = 8,
-	BENCH_PORT = 17300, /* servers; the traffic side's follow */
+	BENCH_PORT = 17300, /* first server port; the traffic ports follow */
 	BENCH_TIMEOUT_MS = 600,
 	BENCH_TARGET_MS = 200,
 	BENCH_WORK_MS = 5,
@@ -28,18 +28,18 @@
 
 enum script {
 	SCRIPT_SERVE,
-	SCRIPT_REFUSE,	    /* says that it didn't run the request */
-	SCRIPT_RUN_RESET,   /* runs it and resets the connection */
-	SCRIPT_RUN_CUT,	    /* runs it and breaks off within the answer */
-	SCRIPT_RUN_GARBAGE, /* runs it and sends what is no message */
-	SCRIPT_RUN_ERROR,   /* runs it and answers 500 */
-	SCRIPT_HANG,	    /* takes it and never answers */
-	SCRIPT_TWICE,	    /* answers twice at once */
-	SCRIPT_TWICE_LATE,  /* the second answer comes some ms later */
-	SCRIPT_UNSEALED,    /* answers without its receipt */
-	SCRIPT_REFUSE_LATE, /* says so after some ms, as from a queue */
-	SCRIPT_COUNT,	    /* of those that played days draw */
-	SCRIPT_END = SCRIPT_COUNT, /* its process ends under the request */
+	SCRIPT_REFUSE,		   /* responds "not executed" */
+	SCRIPT_RUN_RESET,	   /* executes and resets the connection */
+	SCRIPT_RUN_CUT,		   /* executes and truncates the response */
+	SCRIPT_RUN_GARBAGE,	   /* executes and sends invalid bytes */
+	SCRIPT_RUN_ERROR,	   /* executes and responds 500 */
+	SCRIPT_HANG,		   /* never responds */
+	SCRIPT_TWICE,		   /* sends the response twice */
+	SCRIPT_TWICE_LATE,	   /* sends it again some ms later */
+	SCRIPT_UNSEALED,	   /* responds without the receipt */
+	SCRIPT_REFUSE_LATE,	   /* responds "not executed" after work_ms */
+	SCRIPT_COUNT,		   /* number of randomly chosen scripts */
+	SCRIPT_END = SCRIPT_COUNT, /* the process exits during the request */
 };
 
 struct bench;
@@ -50,27 +50,26 @@
 	char id[BACKEND_NAME_MAX];
 	enum script script;
 	int work_ms;
-	unsigned busy_slots; /* slots taken by others, as it reports */
+	unsigned busy_slots; /* reported as used by other instances */
 	unsigned running, received, connections;
 	bool tells_load, dead;
-	bool reset_probes; /* questions for its health are reset, as by a relay */
-	bool unhealthy;	   /* its health answer is 503, without a load */
-	const char *limit; /* that its answers name; NULL: none */
-	const char *
-		extra_headers; /* more header lines of its answers; NULL: none */
-	const char *tail;      /* bytes behind each answer; NULL: none */
-	int tail_ms;	       /* they come so much later; 0: at once */
-	const char *probe_headers; /* and of those to questions */
-	unsigned probes;	   /* questions so far */
+	bool reset_probes; /* reset connections of probes, as a relay may */
+	bool unhealthy;	   /* respond 503 to probes, without a load */
+	const char *limit; /* Server-Limit of responses, or NULL */
+	const char *extra_headers; /* further lines of responses, or NULL */
+	const char *tail;	   /* bytes after each response, or NULL */
+	int tail_ms;		   /* their delay; 0: sent with the response */
+	const char *probe_headers; /* further lines of probe responses */
+	unsigned probes;	   /* probes received */
 };
 
-/* A request at a server. */
+/* A request being executed by a server. */
 struct job {
 	struct server *server;
 	struct http_conn *conn;
 	char id[32];
 	ev_timer timer;
-	bool refuse; /* it was not run, and the answer says so */
+	bool refuse; /* not executed: respond so when done */
 };
 
 struct caller {
@@ -88,17 +87,17 @@
 	struct ev_loop *loop;
 	struct instance_settings settings;
 	struct traffic traffic;
-	struct mailbox control; /* nobody runs it: its messages stay */
+	struct mailbox control; /* never read: messages stay queued */
 	struct control_view view;
 	struct server servers[BENCH_SERVERS];
 	int n;
-	GHashTable *executions; /* id -> count */
+	GHashTable *executions; /* request id -> number of executions */
 	GPtrArray *callers;
 	unsigned ids;
 	struct caller *until;
 };
 
-/* Says that it didn't run the request. */
+/* Responds "not executed". */
 static inline void server_refuse(struct server *s, struct http_conn *c)
 {
 	char headers[256];
@@ -109,7 +108,7 @@
 						.headers = lstr0(headers)});
 }
 
-/* Bytes that come a while after an answer, whatever becomes of its connection. */
+/* Bytes sent some time after a response, whatever happens to its connection. */
 struct delayed_bytes {
 	ev_timer timer;
 	int fd;
@@ -357,7 +356,7 @@
 {
 }
 
-/* Makes a bench with n calm servers. */
+/* Creates a bench with n healthy servers. */
 static inline struct bench *bench_new(int n)
 {
 	struct bench *b = g_new0(struct bench, 1);
@@ -371,7 +370,7 @@
 	s->metrics = bench_addr(3);
 	s->policy = mechanisms;
 	s->bounds = (struct bounds){.grace_s = 6,
-				    /* Ten at once for each request. */
+				    /* Ten extra sends a request at once. */
 				    .retry_ratio = 30,
 				    .retry_slack = 200,
 				    .retry_window_s = 10,
@@ -397,7 +396,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-/* Lets everything run for some milliseconds. */
+/* Runs the event loop for some milliseconds. */
 static inline void bench_run_ms(struct bench *b, int ms)
 {
 	ev_timer t;
@@ -409,7 +408,7 @@
 	ev_timer_stop(b->loop, &t);
 }
 
-/* Runs until a caller has its answer, or far too long. */
+/* Runs the event loop until a caller has its response, at most 2000 steps. */
 static inline void bench_run_until(struct bench *b, struct caller *c)
 {
 	for (int i = 0; i < 2000 && c->open; i++)
@@ -433,7 +432,7 @@
 	bench_put(b, i, true);
 }
 
-/* Server i has started again under its id: the list says so. */
+/* Announces a restart of server i under the same id. */
 static inline void bench_restart(struct bench *b, int i, uint64_t born_ms)
 {
 	struct backend *known = g_hash_table_lookup(b->traffic.backends.by_id,
--- a/tests/bench_callers.h
+++ b/tests/bench_callers.h
@@ -1,4 +1,4 @@
-/* The callers of a bench; a part of tests/bench.h. */
+/* Callers of a test bench; included by tests/bench.h. */
 #ifndef MP_TESTS_BENCH_CALLERS_H
 #define MP_TESTS_BENCH_CALLERS_H
 
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,8 +1,9 @@
 /*
- * Tests of traffic/: one traffic side in this process, callers and scripted
- * backend servers on loopback. What callers are told is compared with what
- * the servers ran: at most once for what may not be repeated, "not run" only
- * when that is so, each caller its own whole answer, and each wait bounded.
+ * Tests of request handling: the traffic thread's code, callers and scripted
+ * backend servers in one process, on loopback. What callers are told is
+ * compared with what the servers executed: non-idempotent requests at most
+ * once, "not executed" only if that is true, each caller its own complete
+ * response, and every wait bounded.
  */
 #include "tests/unit.h"
 
@@ -13,7 +14,7 @@
 #include "tests/bench.h"
 #include "traffic/request.h"
 
-/* A calm service: every request is answered with its own body. */
+/* Healthy servers: every request gets its own body. */
 static void test_healthy_servers(void **state)
 {
 	struct bench *b = bench_new(3);
@@ -26,12 +27,12 @@
 		assert_true(caller_has_own_body(c));
 		assert_int_equal(bench_runs(b, c), 1);
 	}
-	/* Connections are kept: no more than a few each server. */
+	/* Connections are reused: at most a few per server. */
 	assert_true(b->servers[0].connections <= 4);
 	bench_free(b);
 }
 
-/* Refused by every server: "not run" is said, and is true. */
+/* Refused by all servers: the caller is told "not executed", truthfully. */
 static void test_refused(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -44,7 +45,7 @@
 	assert_int_equal(c->status, 503);
 	assert_int_equal(bench_runs(b, c), 0);
 	assert_true(c->retry_after > 0);
-	/* One of them has room: the caller never learns of the other. */
+	/* With capacity at one server the other's refusal isn't visible. */
 	bench_script(b, 1, SCRIPT_SERVE);
 	for (int i = 0; i < 5; i++) {
 		c = bench_call(b, "POST", 1000);
@@ -55,7 +56,7 @@
 	bench_free(b);
 }
 
-/* Full by its own report: nothing is sent, and the caller knows at once. */
+/* All servers report full: nothing is sent, and the caller is told quickly. */
 static void test_no_capacity(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -68,12 +69,12 @@
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 503);
 	assert_int_equal(bench_runs(b, c), 0);
-	/* An eighth of the target of 200 ms, and the questions' time. */
+	/* An eighth of the target of 200 ms, plus the time of the probes. */
 	assert_true(clock_ms() - t0 < 120);
 	bench_free(b);
 }
 
-/* A request that waits gets the room that an answer tells of. */
+/* A queued request uses the capacity that a response reports. */
 static void test_capacity_appears(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -91,7 +92,7 @@
 	bench_free(b);
 }
 
-/* No answer at all: the time limit of the route ends it, as "unknown". */
+/* No response: the route's timeout ends the request with an unknown outcome. */
 static void test_silent_server(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -104,7 +105,7 @@
 	assert_int_equal(c->status, 504);
 	assert_in_range(clock_ms() - t0, BENCH_TIMEOUT_MS - 20,
 			BENCH_TIMEOUT_MS + 150);
-	/* The caller's own limit counts when it is shorter. */
+	/* The caller's own time limit applies if it is shorter. */
 	t0 = clock_ms();
 	c = bench_call(b, "POST", 200);
 	bench_run_until(b, c);
@@ -113,7 +114,7 @@
 	bench_free(b);
 }
 
-/* With questions switched off requests still find servers. */
+/* With probes disabled requests still find servers. */
 static void test_no_probes(void **state)
 {
 	struct bench *b;
@@ -131,7 +132,7 @@
 	bench_free(b);
 }
 
-/* Another start answers at the address: it gets nothing, and is forgotten. */
+/* Another process uses the address: it gets nothing, the entry is removed. */
 static void test_address_reused(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -148,7 +149,7 @@
 	bench_free(b);
 }
 
-/* A leaving server gets no new work, a dead one costs a moment. */
+/* A draining server gets no new requests; a dead one adds little latency. */
 static void test_draining_and_dead(void **state)
 {
 	struct bench *b = bench_new(3);
@@ -168,7 +169,7 @@
 	bench_free(b);
 }
 
-/* The caller leaves: repeatable work is dropped at the server. */
+/* The caller disconnects: an idempotent request is cancelled at the server. */
 static void test_caller_leaves(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -182,7 +183,7 @@
 	bench_run_ms(b, 50);
 	assert_int_equal(b->servers[0].running, 0);
 	assert_int_equal(b->traffic.open_requests, 0);
-	/* What may not be repeated goes on to its end there. */
+	/* A non-idempotent one runs to its end there. */
 	c = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 50);
 	caller_disconnect(c);
@@ -203,8 +204,8 @@
 }
 
 /*
- * The caller leaves while its request still looks for a server: it did not
- * run, and whoever keeps account of it (keys of protected calls) hears so.
+ * The caller disconnects during the server selection: the request didn't
+ * execute, and `completed` is called, on which the idempotency keys depend.
  */
 static void test_caller_leaves_during_selection(void **state)
 {
@@ -231,7 +232,7 @@
 	bench_free(b);
 }
 
-/* Nobody waits any more: a refused request isn't taken to another server. */
+/* After the caller has left, a refused request isn't sent to another server. */
 static void test_no_retry_after_caller_left(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -251,7 +252,7 @@
 	bench_free(b);
 }
 
-/* Before any configuration 503, afterwards 404 for what isn't there. */
+/* 503 before any configuration is known, then 404 for unknown routes. */
 static void test_no_route(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -259,12 +260,12 @@
 
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 404);
-	/* Without news for long nobody can be sure. */
+	/* With stale backend lists a missing route isn't certain. */
 	b->view.fresh_ms -= 60000;
 	c = bench_call_path(b, "GET", "/none/", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 503);
-	/* Nor without anybody who confirms the configuration. */
+	/* Nor with an unconfirmed configuration. */
 	b->view.fresh_ms += 60000;
 	b->view.config_ms -= 60000;
 	c = bench_call_path(b, "GET", "/none/", 1000);
@@ -278,7 +279,7 @@
 	bench_free(b);
 }
 
-/* One ill server doesn't make the service count as one without reports. */
+/* One unhealthy server doesn't mark the service as not reporting load. */
 static void test_unhealthy_server(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -298,7 +299,7 @@
 	bench_free(b);
 }
 
-/* A service whose servers don't tell their load is served as well. */
+/* Services whose servers report no load are served as well. */
 static void test_load_not_reported(void **state)
 {
 	struct bench *b = bench_new(3);
@@ -312,7 +313,7 @@
 		assert_int_equal(c->status, 200);
 		assert_int_equal(bench_runs(b, c), 1);
 	}
-	/* Nothing is made up in the place of a report. */
+	/* No load is assumed in place of a report. */
 	GHashTableIter it;
 	gpointer v;
 
@@ -322,7 +323,7 @@
 	bench_free(b);
 }
 
-/* Servers without reports are full when the peers fill them. */
+/* Servers without load reports are full when peers' requests fill them. */
 static void test_filled_by_peers(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -355,10 +356,11 @@
 }
 
 /*
- * Eight requests are refused in the same few milliseconds, and each may go to
- * one more server if the budget allows. Each asked the budget before it looked
- * for a server and spent from it when it had found one, some milliseconds later:
- * so all eight asked before the first had spent, and all were sent again.
+ * Guards against overspending the retry budget: eight requests are refused
+ * within a few milliseconds, each may be sent to one more server. The budget
+ * was checked before the server selection but charged some milliseconds later,
+ * so all eight passed the check before the first was charged, and all were sent
+ * again.
  */
 static void test_budget_with_concurrent_refusals(void **state)
 {
@@ -393,9 +395,10 @@
 }
 
 /*
- * An instance that is cut off from the others hears fewer, and they still live:
- * its part of what all share doesn't grow. With six times the usual callers and
- * 12 of 16 instances cut off servers got 69.7 questions a second, 60 are allowed.
+ * A partitioned instance sees fewer peers although they are still running: its
+ * part of shared limits must not grow. With six times the usual callers and 12
+ * of 16 instances partitioned, servers got 69.7 probes a second where 60 are
+ * allowed.
  */
 static void test_partition_keeps_instance_count(void **state)
 {
@@ -412,10 +415,7 @@
 	bench_free(b);
 }
 
-/*
- * Seeded days of misbehaving servers: whatever they do, the promises to the
- * callers hold.
- */
+/* Whatever randomly misbehaving servers do, the guarantees to callers hold. */
 static void run_random_faults(guint32 seed)
 {
 	GRand *rand = g_rand_new_with_seed(seed);
--- a/tests/test_request_log.c
+++ b/tests/test_request_log.c
@@ -1,6 +1,6 @@
 /*
- * Tests of traffic/request_log: what is written of a request while lines are
- * plenty, and what of it remains when a storm has used up the allowance.
+ * Tests of traffic/request_log: the lines of a request within the log rate
+ * limit, and what remains of them beyond it.
  */
 #include "tests/unit.h"
 
@@ -15,7 +15,7 @@
 
 static GString *lines;
 
-/* Takes the place of the process's own log writer. */
+/* Captures lines in place of the log writer. */
 static GLogWriterOutput capture_line(GLogLevelFlags level,
 				     const GLogField *fields, gsize n,
 				     gpointer data)
@@ -32,7 +32,7 @@
 	return G_LOG_WRITER_HANDLED;
 }
 
-/* Waits for a new second and uses up its allowance for what goes well. */
+/* Waits for a new second and uses up its allowance of routine lines. */
 static void exhaust_log_allowance(void)
 {
 	struct timespec t;
@@ -43,7 +43,7 @@
 		;
 }
 
-/* Counts the lines of event ev that name the caller's id. */
+/* Counts the lines of event ev with the caller's request id. */
 static unsigned count_lines(const char *ev, const struct caller *c)
 {
 	char *start = g_strdup_printf("ev=%s id=%s ", ev, c->id);
@@ -67,7 +67,7 @@
 	return c;
 }
 
-/* While lines are plenty: each decision, with the retry budget. */
+/* Within the limit: every decision is logged, with the retry budget. */
 static void test_lines_within_allowance(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -81,7 +81,7 @@
 	bench_free(b);
 }
 
-/* In a storm: one that is served in time is counted, not written. */
+/* Beyond the limit: a request served on time is only counted. */
 static void test_suppressed_served(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -97,7 +97,9 @@
 	bench_free(b);
 }
 
-/* In a storm: one that fails is told in full, with every server it went to. */
+/*
+ * Beyond the limit: a failed request is logged completely, with every server.
+ */
 static void test_suppressed_refused(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -115,8 +117,8 @@
 }
 
 /*
- * In a storm: a second send is accounted for also when the request goes well,
- * with what this lifetime has spent so far; metrics say the same.
+ * Beyond the limit: an extra send is logged even if the request succeeds, with
+ * this lifetime's extra sends so far; the metrics agree.
  */
 static void test_suppressed_extra(void **state)
 {
@@ -149,7 +151,7 @@
 	bench_free(b);
 }
 
-/* In a storm: late, and an unknown outcome. */
+/* Beyond the limit: late requests and unknown outcomes are logged. */
 static void test_suppressed_late(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -172,8 +174,8 @@
 }
 
 /*
- * A broken connection is told with what the request is: two attempts of the
- * same request bear one digest, and another request bears another.
+ * A broken connection is logged with the request's digest: equal for two
+ * attempts of one request, different for another request.
  */
 static void test_broken(void **state)
 {
@@ -195,7 +197,7 @@
 	bench_free(b);
 }
 
-/* A server whose process has ended is told once, and when it answers again. */
+/* An unreachable server is logged once, and again when it answers. */
 static void test_unreachable_logged(void **state)
 {
 	struct bench *b = bench_new(1);
--- a/tests/test_request_send.c
+++ b/tests/test_request_send.c
@@ -1,6 +1,6 @@
 /*
- * Tests of traffic/request_send: what becomes of a request at a server that
- * loses its answer, never answers, answers twice or starts again.
+ * Tests of traffic/request_send: requests at servers that lose the response,
+ * never respond, respond twice or restart.
  */
 #include "tests/unit.h"
 
@@ -10,7 +10,10 @@
 #include "tests/bench.h"
 #include "traffic/request.h"
 
-/* A server that runs the request and breaks off: repeat only if allowed. */
+/*
+ * A server that executes the request and breaks the connection: the request is
+ * sent again only if it is idempotent.
+ */
 static void test_lost_response(void **state)
 {
 	static const enum script scripts[] = {SCRIPT_RUN_RESET, SCRIPT_RUN_CUT,
@@ -26,7 +29,7 @@
 		bench_run_until(b, post);
 		assert_int_equal(post->status, 502);
 		assert_int_equal(bench_runs(b, post), 1);
-		/* The route allows two servers. */
+		/* The route allows two attempts. */
 		get = bench_call(b, "GET", 1000);
 		bench_run_until(b, get);
 		assert_int_equal(get->status, 502);
@@ -40,7 +43,7 @@
 	}
 }
 
-/* What may be repeated goes to a second server in time to be on time. */
+/* An idempotent request is hedged early enough to be on time. */
 static void test_hedge(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -60,7 +63,7 @@
 	bench_free(b);
 }
 
-/* Too late to be on time, but not to be answered at all. */
+/* A rescue is sent too late to be on time, but gets a response. */
 static void test_rescue(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -77,7 +80,7 @@
 		assert_int_equal(c->status, 200);
 		assert_true(caller_has_own_body(c));
 	}
-	/* What may not be repeated is not. */
+	/* Non-idempotent requests are not rescued. */
 	b->servers[1].dead = true;
 	bench_drain(b, 1);
 	struct caller *c = bench_call(b, "POST", 1000);
@@ -90,8 +93,9 @@
 }
 
 /*
- * A server that started again under its id has lost what it had: the request
- * goes to another at once where it may, and its outcome is told where not.
+ * A server that restarted under its id has lost its requests: idempotent ones
+ * are sent to another server at once, the callers of others are told the
+ * outcome is unknown.
  */
 static void test_restarted_server(void **state)
 {
@@ -116,7 +120,7 @@
 	}
 }
 
-/* A second answer to an earlier request is never passed on. */
+/* A duplicate response to an earlier request is never forwarded. */
 static void test_duplicate_responses(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -129,7 +133,7 @@
 		assert_int_equal(c->status, 200);
 		assert_true(caller_has_own_body(c));
 	}
-	/* And one that comes a while after the first, on an idle connection. */
+	/* Nor one that arrives later, on an idle connection. */
 	bench_script(b, 0, SCRIPT_TWICE_LATE);
 	for (int i = 0; i < 10; i++) {
 		struct caller *c = bench_call(b, "POST", 1000);
@@ -142,7 +146,7 @@
 	bench_free(b);
 }
 
-/* A success without the server's receipt is no success. */
+/* A 2xx without the server's receipt isn't forwarded. */
 static void test_missing_receipt(void **state)
 {
 	struct bench *b = bench_new(1);
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -1,6 +1,6 @@
 /*
- * Tests of traffic/upstream: what connections bring that nobody waits for any more,
- * and requests that are withdrawn before they leave.
+ * Tests of traffic/upstream: feedback in responses that nobody waits for, and
+ * requests cancelled before their first byte.
  */
 #include "tests/unit.h"
 
@@ -44,7 +44,7 @@
 
 static const struct upstream_ops ops = {take, response, failed};
 
-/* Sends server 0 a request on a new connection. */
+/* Sends a request to server 0 on a new connection. */
 static struct upstream *send_one(struct bench *b, int *err)
 {
 	struct upstream *u =
@@ -77,7 +77,7 @@
 	bench_free(b);
 }
 
-/* The server sees a request that is given up as such, and drops it. */
+/* The server notices that the request was given up, and cancels it. */
 static void test_drop_cancels_work(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -142,7 +142,7 @@
 	bench_run_ms(b, 20);
 	assert_int_equal(err, -ECANCELED);
 	assert_int_equal(b->servers[0].received, 0);
-	/* On a connection that stands it is the same. */
+	/* The same on an established connection. */
 	err = 0;
 	bench_run_ms(b, 60);
 	u = send_one(b, &err);
@@ -159,7 +159,7 @@
 	bench_free(b);
 }
 
-/* A request whose server took nothing any more goes on as if never sent. */
+/* A request withdrawn before it was sent continues as if never sent. */
 static void test_withdrawn_request_goes_elsewhere(void **state)
 {
 	for (int idempotent = 0; idempotent < 2; idempotent++) {
--- a/traffic/inflight_report.c
+++ b/traffic/inflight_report.c
@@ -3,11 +3,14 @@
 
 enum {
 	/*
-	 * Changes within this are told together. The others decide on these
-	 * counts, so each millisecond shows.
+	 * Changes within this interval are sent together. Peers select servers
+	 * by these counts, so every millisecond of delay matters.
 	 */
 	COALESCE_MS = 1,
-	/* While requests are out they are told again, against loss. */
+	/*
+	 * While requests are in flight the report is repeated, as it may get
+	 * lost.
+	 */
 	REPEAT_MS = 400,
 };
 
@@ -28,14 +31,14 @@
 	peer_loads_expire(&t->peer_loads, &t->backends, clock_ms());
 	peer_loads_collect(&t->backends, load);
 	n = load->n;
-	/* With a full queue this one is lost like a datagram. */
+	/* With a full queue it is lost like a datagram. */
 	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_LOAD, load))
 		g_free(load);
 	if (n)
 		arm_timer(t, REPEAT_MS);
 }
 
-/* inflight_report_init() prepares the timer. */
+/* Initialises the report timer and the peers' counts. */
 void inflight_report_init(struct traffic *t)
 {
 	peer_loads_init(&t->peer_loads);
@@ -43,7 +46,7 @@
 	t->inflight_report_timer.data = t;
 }
 
-/* inflight_report_changed() is called when a request went to a server or came back. */
+/* Schedules a report after a request was sent to or returned from a server. */
 void inflight_report_changed(struct traffic *t, const struct service *s)
 {
 	if (service_tells_load(s) || t->inflight_report_pending)
--- a/traffic/inflight_report.h
+++ b/traffic/inflight_report.h
@@ -1,6 +1,6 @@
 /*
- * Tells the other instances what this one has out at servers that tell no
- * load themselves.
+ * Reports this instance's in-flight requests to its peers, for servers that
+ * report no load themselves.
  */
 #ifndef MP_TRAFFIC_INFLIGHT_REPORT_H
 #define MP_TRAFFIC_INFLIGHT_REPORT_H
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -36,13 +36,13 @@
 		   c->work.usual_ms);
 }
 
-/* What this instance believes of a server, and how old that is. */
+/* Writes the state of a backend server as this instance sees it. */
 static void write_backend(struct buf *out, const struct backend *b,
 			  int64_t now_ms)
 {
 	const struct load_report *l = &b->load;
 	bool limited = backend_is_limited(b);
-	int64_t rest = b->state->resume_ms - now_ms;
+	int64_t backoff_left_ms = b->state->resume_ms - now_ms;
 	const struct {
 		const char *name;
 		double value;
@@ -55,7 +55,8 @@
 		{"slowdown_pct", l->slowdown_pct},
 		{"load_age_ms", l->at_ms ? (double)(now_ms - l->at_ms) : -1},
 		{"trouble", outlier_trouble(b, now_ms)},
-		{"backoff_left_ms", rest > 0 ? (double)rest : 0},
+		{"backoff_left_ms",
+		 backoff_left_ms > 0 ? (double)backoff_left_ms : 0},
 		{"limit_per_s", limited ? b->state->limit->said.per_s : -1},
 		{"limit_own_per_s",
 		 limited ? b->state->limit->share.part.rate_s : -1},
@@ -68,7 +69,10 @@
 			   gauges[i].value);
 }
 
-/* What this lifetime did beyond first sends; sums over all go by the rule. */
+/*
+ * Writes the extra sends of this process lifetime. The retry budget rule
+ * applies to their sum over all lifetimes.
+ */
 static void write_account(struct buf *out, const struct service *s)
 {
 	const struct budget_account *a = &s->account;
@@ -102,19 +106,20 @@
 	write_account(out, s);
 }
 
-/* metrics_write() writes all that an on-call engineer may want to plot. */
+/* Writes all metrics of the traffic thread. */
 void metrics_write(struct buf *out, const struct traffic *t)
 {
 	const struct traffic_counters *n = &t->counters;
 	const struct control_view *v = t->control_view;
-	int64_t fresh = (int64_t)ck_pr_load_64((const uint64_t *)&v->fresh_ms);
+	int64_t list_updated_ms =
+		(int64_t)ck_pr_load_64((const uint64_t *)&v->fresh_ms);
 	GHashTableIter it;
 	gpointer item;
 
 	buf_printf(out, "config_version %" G_GUINT64_FORMAT "\n",
 		   t->config ? t->config->version : 0);
 	buf_printf(out, "backend_list_age_ms %" G_GINT64_FORMAT "\n",
-		   clock_ms() - fresh);
+		   clock_ms() - list_updated_ms);
 	buf_printf(out, "config_age_ms %" G_GINT64_FORMAT "\n",
 		   clock_ms() - (int64_t)ck_pr_load_64(
 					(const uint64_t *)&v->config_ms));
--- a/traffic/metrics.h
+++ b/traffic/metrics.h
@@ -1,4 +1,4 @@
-/* Counters and histograms as text, one "name{labels} value" a line. */
+/* Writes counters and histograms as text, one 'name{labels} value' per line. */
 #ifndef MP_TRAFFIC_METRICS_H
 #define MP_TRAFFIC_METRICS_H
 
--- a/traffic/probe.c
+++ b/traffic/probe.c
@@ -5,39 +5,39 @@
 #include "misc/clock.h"
 #include "traffic/probe.h"
 
-/* A server that tells its load does so at once, in a round trip. */
+/* Servers that report load answer a probe immediately, within a round trip. */
 static const double PROBE_TIMEOUT_S = 0.06;
 
-/* No answer to a question is a failure of the server, of full weight. */
+/* A missing probe response counts as one full failure of the server. */
 static const double PROBE_FAILURE_WEIGHT = 1.0;
 
-static void probe_free(struct probe *a)
+static void probe_free(struct probe *p)
 {
-	backend_unref(a->backend);
-	g_free(a);
+	backend_unref(p->backend);
+	g_free(p);
 }
 
-/* Closes the connection of an ask that has ended badly. */
-static void probe_close(struct probe *a)
+/* Closes the connection of a failed probe. */
+static void probe_close(struct probe *p)
 {
-	if (a->upstream)
-		upstream_drop(a->upstream);
-	a->upstream = NULL;
-	a->pending = false;
+	if (p->upstream)
+		upstream_drop(p->upstream);
+	p->upstream = NULL;
+	p->pending = false;
 }
 
-/* Ends one ask of a request, or leaves it to end by itself. */
-static void probe_detach(struct probe *a)
+/* Frees a finished probe; a pending one is detached and frees itself later. */
+static void probe_detach(struct probe *p)
 {
-	a->request = NULL;
-	if (a->pending)
+	p->request = NULL;
+	if (p->pending)
 		return;
-	if (a->upstream)
-		upstream_put(a->upstream, clock_ms());
-	probe_free(a);
+	if (p->upstream)
+		upstream_put(p->upstream, clock_ms());
+	probe_free(p);
 }
 
-/* probes_release() leaves all asks of a request's select_reason. */
+/* Releases all probes of the request's current selection. */
 void probes_release(struct request *r)
 {
 	for (unsigned i = 0; i < r->nprobes; i++)
@@ -48,17 +48,17 @@
 static enum http_verdict probe_judge(void *owner,
 				     const struct answer_info *info)
 {
-	struct probe *a = owner;
+	struct probe *p = owner;
 
-	/* Only an answer that names its server answers the question. */
+	/* Only a response that names its server answers a probe. */
 	if (info->id.ptr || !info->backend.ptr) {
-		a->traffic->counters.foreign_answers++;
+		p->traffic->counters.foreign_answers++;
 		return HTTP_SKIP;
 	}
 	return HTTP_TAKE;
 }
 
-/* Logs the first question that b doesn't answer, and the next that it does. */
+/* Logs the first failed probe of b, and the first success after failures. */
 static void record_reachability(struct backend *b, int err, int64_t now_ms)
 {
 	if (b->down == (err != 0))
@@ -77,7 +77,7 @@
 			 b->service->name);
 }
 
-/* The address belongs to another start by now: this one has ended. */
+/* Removes a server whose address is now used by another process. */
 static void remove_replaced_backend(struct traffic *t, struct backend *b)
 {
 	mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE,
@@ -86,20 +86,20 @@
 }
 
 /*
- * Takes a server's report in; false when it made none. A service counts as one
- * whose servers tell no load only if a healthy one's first answer has none:
- * one that fails or leaves may answer without.
+ * Stores the reported load; returns false if the response has none. The first
+ * response without load marks the service as not reporting, but only if it
+ * comes from a healthy server: a failing or draining one may omit its load.
  */
-static bool record_load_report(struct probe *a, const struct answer_info *info,
+static bool record_load_report(struct probe *p, const struct answer_info *info,
 			       unsigned status, int64_t now_ms)
 {
-	struct service *s = a->backend->service;
+	struct service *s = p->backend->service;
 
 	if (info->has_load) {
 		s->load_support = LOAD_TOLD;
-		a->backend->load = info->load;
-		a->backend->load.at_ms = now_ms;
-		place_note_offer(a->backend, now_ms);
+		p->backend->load = info->load;
+		p->backend->load.at_ms = now_ms;
+		place_note_offer(p->backend, now_ms);
 		return true;
 	}
 	if (status == 200 && s->load_support == LOAD_UNKNOWN)
@@ -107,88 +107,92 @@
 	return false;
 }
 
-/* The request goes on, or nobody waits and the ask ends. */
-static void probe_done(struct probe *a, int64_t now_ms)
+/* Continues the selection that waits for the probe, or frees a detached one. */
+static void probe_done(struct probe *p, int64_t now_ms)
 {
-	if (a->request) {
-		a->request->probes_answered += a->answered;
-		request_select_step(a->request, now_ms);
+	if (p->request) {
+		p->request->probes_answered += p->answered;
+		request_select_step(p->request, now_ms);
 		return;
 	}
-	probe_detach(a);
+	probe_detach(p);
 }
 
+/*
+ * Handles a probe response: stores the reported load, or removes a server that
+ * another process has replaced.
+ */
 static void probe_response(void *owner, struct http_message *m,
 			   const struct answer_info *info)
 {
-	struct probe *a = owner;
+	struct probe *p = owner;
 	int64_t now_ms = clock_ms();
 
-	a->pending = false;
-	if (!lstr_eq(info->backend, lstr0(a->backend->entry.id))) {
-		probe_close(a);
-		remove_replaced_backend(a->traffic, a->backend);
+	p->pending = false;
+	if (!lstr_eq(info->backend, lstr0(p->backend->entry.id))) {
+		probe_close(p);
+		remove_replaced_backend(p->traffic, p->backend);
 	} else {
-		record_reachability(a->backend, 0, now_ms);
-		if (!a->new_connection)
-			place_note_way(a->backend,
-				       (double)(now_ms - a->sent_ms));
-		a->answered = record_load_report(a, info, m->status, now_ms) &&
-			      a->upstream->http.reusable;
-		if (!a->answered)
-			probe_close(a);
+		record_reachability(p->backend, 0, now_ms);
+		if (!p->new_connection)
+			place_note_way(p->backend,
+				       (double)(now_ms - p->sent_ms));
+		p->answered = record_load_report(p, info, m->status, now_ms) &&
+			      p->upstream->http.reusable;
+		if (!p->answered)
+			probe_close(p);
 	}
 	http_message_free(m);
-	probe_done(a, now_ms);
+	probe_done(p, now_ms);
 }
 
 static void probe_failed(void *owner, int err, bool sent)
 {
-	struct probe *a = owner;
+	struct probe *p = owner;
 	int64_t now_ms = clock_ms();
 
-	a->upstream = NULL;
-	a->pending = false;
-	a->traffic->counters.probe_failures += err != -ECANCELED;
+	p->upstream = NULL;
+	p->pending = false;
+	p->traffic->counters.probe_failures += err != -ECANCELED;
 	/*
-	 * A kept connection may be closed at any time, and a question be withdrawn:
-	 * nobody's fault.
+	 * A kept connection may be closed at any time, and a probe may be
+	 * cancelled before it is sent: neither is a failure of the server.
 	 */
 	if (err != -EPIPE && err != -ECONNRESET && err != -ECANCELED) {
-		record_reachability(a->backend, err, now_ms);
-		outlier_note(a->backend, PROBE_FAILURE_WEIGHT, now_ms);
+		record_reachability(p->backend, err, now_ms);
+		outlier_note(p->backend, PROBE_FAILURE_WEIGHT, now_ms);
 	}
-	probe_done(a, now_ms);
+	probe_done(p, now_ms);
 }
 
 static const struct upstream_ops probe_ops = {probe_judge, probe_response,
 					      probe_failed};
 
-/* probe_start() asks b for its load on behalf of a request. */
+/* Probes b for its load on behalf of a request. */
 void probe_start(struct request *r, struct backend *b)
 {
 	const struct service_config *sc =
 		config_service(r->config, lstr0(r->service->name));
 	struct upstream *u = upstream_get(r->traffic, b, 0);
 	struct buf bytes = {0};
-	struct probe *a;
+	struct probe *p;
 
 	if (!u)
 		return;
-	a = g_new0(struct probe, 1);
-	a->request = r;
-	a->traffic = r->traffic;
-	a->upstream = u;
-	a->sent_ms = clock_ms();
-	a->new_connection = u->last_used_ms == 0;
-	r->probes[r->nprobes++] = a;
-	a->backend = backend_ref(b);
-	a->pending = true;
+	p = g_new0(struct probe, 1);
+	p->request = r;
+	p->traffic = r->traffic;
+	p->upstream = u;
+	p->sent_ms = clock_ms();
+	p->new_connection = u->last_used_ms == 0;
+	r->probes[r->nprobes++] = p;
+	p->backend = backend_ref(b);
+	p->pending = true;
 	r->traffic->counters.probes++;
 	r->probes_sent++;
 	exchange_write_probe(&bytes, sc ? sc->health_path : LSTR("/"), b,
 			     r->traffic->via);
-	upstream_probe(a->upstream, buf_lstr(&bytes), PROBE_TIMEOUT_S,
-		       &probe_ops, a);
+	upstream_probe(p->upstream, buf_lstr(&bytes), PROBE_TIMEOUT_S,
+		       &probe_ops, p);
 	buf_free(&bytes);
 }
--- a/traffic/probe.h
+++ b/traffic/probe.h
@@ -1,23 +1,22 @@
-/*
- * Asking backend servers for their load, just before one of them is chosen.
- */
+/* Load probes sent to backend servers just before one of them is selected. */
 #ifndef MP_TRAFFIC_PROBE_H
 #define MP_TRAFFIC_PROBE_H
 
 #include "traffic/request.h"
 
 /*
- * A question for a server's load, on the connection the request may use. A
- * request that no longer waits for the answer leaves it to come by itself, so
- * that the connection is kept.
+ * A load probe on the connection that the request may be sent on. If the
+ * request is gone before the response arrives, the probe stays until it does,
+ * so that the connection can be kept.
  */
 struct probe {
-	struct request *request; /* NULL: nobody waits for it any more */
+	struct request *request; /* NULL: detached from its request */
 	struct traffic *traffic;
 	struct backend *backend;
-	struct upstream *upstream; /* held; NULL once given away or failed */
+	struct upstream *upstream; /* held; NULL once handed over or failed */
 	int64_t sent_ms;
-	bool new_connection; /* its connection is new, which takes longer */
+	/* includes the handshake, so no round-trip sample */
+	bool new_connection;
 	bool pending;
 	bool answered;
 };
--- a/traffic/request_log.c
+++ b/traffic/request_log.c
@@ -1,9 +1,8 @@
 /*
- * The log lines of one request. While there are few, each is written when
- * its decision falls. Beyond that the lines of a request are held back: they
- * are written if it fails, is late or is sent again, and only counted if it
- * goes well. So a storm costs few lines, and none of those that explain a
- * failure.
+ * Log lines of a request. Within the rate limit every decision is logged when
+ * it is made. Beyond it a request's lines are deferred: they are written if it
+ * fails, is late or is retried, and only counted if it succeeds. So overload
+ * produces few lines, and all those that explain a failure.
  */
 #include <inttypes.h>
 
@@ -33,7 +32,7 @@
 		 b->saturated);
 }
 
-/* Writes what was held back; from now on each line is written at once. */
+/* Writes the deferred lines; later lines are written immediately. */
 static void flush_deferred(struct request *r, int64_t now_ms)
 {
 	if (!r->log_deferred)
@@ -44,8 +43,8 @@
 }
 
 /*
- * request_log_sent() says what decided for a server: its report and how old
- * that is, remembered trouble, the time and the retry budget left.
+ * Logs a send with the inputs of the selection: load report and its age, recent
+ * failures, remaining time and retry budget.
  */
 void request_log_sent(struct request *r, struct send *s, int64_t now_ms)
 {
@@ -65,7 +64,7 @@
 		write_sent(r, s, r->nsends, now_ms);
 }
 
-/* request_log_retry() says why the request goes to one more server. */
+/* Logs why the request is sent to one more server. */
 void request_log_retry(struct request *r, const char *why)
 {
 	int64_t now_ms = clock_ms();
@@ -81,9 +80,8 @@
 }
 
 /*
- * request_log_extra() accounts for a send beyond the request's first. These
- * lines are never held back: added up over the lifetimes of all instances they
- * are what the system's rule on retries looks at.
+ * Logs an extra send. These lines are never deferred: their sum over the
+ * lifetimes of all instances is what the retry budget rule applies to.
  */
 void request_log_extra(struct request *r, enum extra_cause cause,
 		       int64_t now_ms)
@@ -106,8 +104,8 @@
 }
 
 /*
- * request_log_broken() says that the connection to a server ended while that
- * had the request, and how many others this instance had there.
+ * Logs that the connection broke while the server had the request, and how many
+ * other requests of this instance it had.
  */
 void request_log_broken(struct request *r, const struct send *s, int err)
 {
@@ -125,7 +123,7 @@
 		 s->backend->gone);
 }
 
-/* request_log_withdrawn() says why a send was taken back right before it left. */
+/* Logs why a send was cancelled just before its first byte. */
 void request_log_withdrawn(struct request *r, const struct send *s,
 			   int64_t now_ms)
 {
@@ -140,7 +138,7 @@
 		 s->backend->entry.id, hold_name(a.hold), now_ms - s->sent_ms);
 }
 
-/* request_log_mismatched() names an answer that belongs to another request. */
+/* Logs a skipped response that belongs to another request. */
 void request_log_mismatched(struct request *r, const struct send *s,
 			    struct lstr answered)
 {
@@ -151,7 +149,7 @@
 		 (int)answered.len, answered.ptr ? answered.ptr : "");
 }
 
-/* One that was served in time needs no explanation. */
+/* Requests served on time are not logged when lines are deferred. */
 static bool served_on_time(const struct request *r, enum mp_event ev,
 			   unsigned status, int64_t now_ms)
 {
@@ -159,7 +157,7 @@
 	       now_ms - r->start_ms <= r->route->target_ms;
 }
 
-/* request_log_outcome() says how a request ended, with what led there. */
+/* Logs the outcome of a request and what led to it. */
 void request_log_outcome(struct request *r, enum mp_event ev, unsigned status,
 			 const char *why, double retry_s)
 {
--- a/traffic/request_queue.c
+++ b/traffic/request_queue.c
@@ -4,23 +4,22 @@
 #include "core/limit_room.h"
 #include "core/mechanisms.h"
 #include "misc/clock.h"
-#include "traffic/probe.h"
 #include "traffic/limit_sends.h"
+#include "traffic/probe.h"
 #include "traffic/request_queue.h"
 
 enum {
 	/*
-	 * Without room anywhere it is asked again after this, then after
-	 * twice as long and so on: the answers to this instance's other
-	 * requests tell of room sooner, and at no cost.
+	 * Delay until the next check for capacity, doubled each time. Responses
+	 * to this instance's other requests show capacity sooner, at no cost.
 	 */
 	RECHECK_MS = 12,
-	RECHECK_DOUBLINGS_MAX = 6, /* doublings */
-	/* A late second send is tried again after this. */
+	RECHECK_DOUBLINGS_MAX = 6, /* limit of the doubling */
+	/* Interval between attempts to start a rescue. */
 	RESCUE_RETRY_MS = 150,
 };
 
-/* The more important first, then the older. */
+/* Orders the queue by priority, then by time spent since the first attempt. */
 static gint compare_waiting(gconstpointer a, gconstpointer b, gpointer data)
 {
 	const struct request *x = a, *y = b;
@@ -40,7 +39,7 @@
 	r->queued = true;
 }
 
-/* request_queue_remove() takes a request out of the queue, if it stands there. */
+/* Removes a request from its service's queue, if it is in it. */
 void request_queue_remove(struct request *r)
 {
 	if (r->queued)
@@ -48,27 +47,30 @@
 	r->queued = false;
 }
 
-/* No server for a second send now: again when it may be late. */
+/* No server takes a hedge now: retries when the request may be late. */
 static void schedule_rescue(struct request *r, int64_t now_ms)
 {
 	const struct send *first = &r->sends[r->nsends - 1];
-	int64_t at = first->sent_ms +
-		     rescue_delay_ms(first->estimate_ms, r->route->target_ms);
+	int64_t late_ms = first->sent_ms + rescue_delay_ms(first->estimate_ms,
+							   r->route->target_ms);
 
-	r->hedge_at_ms = r->rescue ? now_ms + RESCUE_RETRY_MS : at;
+	r->hedge_at_ms = r->rescue ? now_ms + RESCUE_RETRY_MS : late_ms;
 	if (!mechanisms.rescue)
 		r->hedge_at_ms = 0;
 	r->rescue = true;
 }
 
-/* Ends a request that found no room; another copy of it may still be out. */
+/*
+ * Ends the selection of a request without capacity, and the request itself
+ * unless another copy is in flight.
+ */
 static void give_up(struct request *r)
 {
-	bool alone = !request_is_in_flight(r);
+	bool only_copy = !request_is_in_flight(r);
 
 	r->traffic->counters.no_room++;
 	request_select_end(r);
-	if (!alone)
+	if (!only_copy)
 		request_arm_timer(r);
 	else if (r->maybe_executed)
 		request_fail(r, 502, "no server left");
@@ -76,7 +78,7 @@
 		request_refuse(r, "no room");
 }
 
-/* How long it may look for room in all, since it began to. */
+/* Returns the time until which the request may wait for capacity. */
 static int64_t wait_deadline_ms(const struct request *r, int64_t now_ms)
 {
 	struct admit_request view = request_admission_view(r, now_ms);
@@ -84,57 +86,58 @@
 	return r->select_start_ms + (int64_t)admit_wait_ms(&view);
 }
 
-/* Whether a request with so many before it gets its turn while it may wait. */
-static bool served_in_time(const struct request *r,
-			   const struct limit_room *room, unsigned before,
-			   int64_t now_ms)
+/* Returns whether r gets its turn in time with `ahead` requests before it. */
+static bool is_served_in_time(const struct request *r,
+			      const struct limit_room *room, unsigned ahead,
+			      int64_t now_ms)
 {
-	double wait = limit_room_wait_ms(room, before);
+	double wait_ms = limit_room_wait_ms(room, ahead);
 
-	return (double)now_ms + wait <= (double)wait_deadline_ms(r, now_ms);
+	return (double)now_ms + wait_ms <= (double)wait_deadline_ms(r, now_ms);
 }
 
-/* Whether it waits for what peers may give up for it. */
+/* Returns whether the request waits for a peer to grant a send. */
 static bool is_awaiting_grant(const struct request *r, int64_t now_ms)
 {
 	return r->grant_until_ms && now_ms < r->grant_until_ms;
 }
 
-/* A request waits once for the answers to a question. */
+/* Starts waiting for a grant; each request does so only once. */
 static bool begin_grant_wait(struct request *r, int64_t now_ms)
 {
-	int64_t until = limit_sends_want(r->traffic, r->service, now_ms);
+	int64_t until_ms = limit_sends_want(r->traffic, r->service, now_ms);
 
-	if (r->grant_until_ms || now_ms >= until ||
+	if (r->grant_until_ms || now_ms >= until_ms ||
 	    now_ms >= wait_deadline_ms(r, now_ms))
 		return false;
-	r->grant_until_ms = until;
+	r->grant_until_ms = until_ms;
 	return true;
 }
 
-/* The last of those behind r that gets no turn in time; NULL: there is none. */
+/* Returns the last request behind r that can't be served in time, or NULL. */
 static struct request *last_unservable(const GQueue *waiting,
 				       const struct request *r,
 				       const struct limit_room *room,
 				       int64_t now_ms)
 {
-	unsigned before = waiting->length;
+	unsigned ahead = waiting->length;
 
 	for (GList *l = waiting->tail; l && l->data != r; l = l->prev) {
 		struct request *last = l->data;
 
-		before--;
+		ahead--;
 		if (is_awaiting_grant(last, now_ms))
 			continue;
-		return served_in_time(last, room, before, now_ms) ? NULL : last;
+		return is_served_in_time(last, room, ahead, now_ms) ? NULL
+								    : last;
 	}
 	return NULL;
 }
 
 /*
- * One that goes before others takes their turns: those that don't get any in time
- * hear so now. A refusal may let a caller's next request in, which waits as well
- * and may end any of these, r too: so the queue is looked at anew each time.
+ * Refuses the requests behind r that can't be served in time any more. A
+ * refusal may admit the caller's next request, which queues as well and may end
+ * any of these, even r: the queue is searched anew each time.
  */
 static void refuse_unservable(const GQueue *waiting, const struct request *r,
 			      const struct limit_room *room, int64_t now_ms)
@@ -146,27 +149,27 @@
 }
 
 /*
- * All servers of the service are in need, so that it is known when a request gets
- * its turn: it waits for that, or for what a peer may give up, or is refused at once.
+ * All usable servers of the service have a limit, so the waiting time is known:
+ * waits for its turn or for a peer's grant, or refuses immediately.
  */
 static void wait_for_limit(struct request *r, const struct limit_room *room,
 			   int64_t now_ms)
 {
-	int64_t until =
+	int64_t until_ms =
 		now_ms + (room->next_ms > 0 ? room->next_ms : RECHECK_MS);
-	unsigned before;
+	unsigned ahead;
 
 	enqueue(r);
-	before = (unsigned)g_queue_index(&r->service->waiting, r);
-	if (!served_in_time(r, room, before, now_ms)) {
+	ahead = (unsigned)g_queue_index(&r->service->waiting, r);
+	if (!is_served_in_time(r, room, ahead, now_ms)) {
 		if (!begin_grant_wait(r, now_ms)) {
 			give_up(r);
 			return;
 		}
-		until = r->grant_until_ms;
+		until_ms = r->grant_until_ms;
 	}
 	r->probe_round = 0;
-	r->wait_until_ms = until;
+	r->wait_until_ms = until_ms;
 	if (r->wait_count < RECHECK_DOUBLINGS_MAX)
 		r->wait_count++;
 	request_arm_timer(r);
@@ -174,8 +177,8 @@
 }
 
 /*
- * No server of the service can be used until resume_ms: the request waits for that if
- * it is in time, or is refused at once.
+ * No server of the service can be used until resume_ms: waits for that if it is
+ * in time, else refuses immediately.
  */
 static void wait_for_resume(struct request *r, int64_t resume_ms,
 			    int64_t now_ms)
@@ -190,26 +193,26 @@
 	request_arm_timer(r);
 }
 
-/* Waits a moment for room, while it may. */
-static void wait_for_room(struct request *r, int64_t now_ms)
+/* Waits for the next check for capacity, until the wait deadline. */
+static void wait_for_capacity(struct request *r, int64_t now_ms)
 {
-	int64_t end = wait_deadline_ms(r, now_ms);
+	int64_t deadline_ms = wait_deadline_ms(r, now_ms);
 
-	if (now_ms >= end || r->service->backends->len == 0) {
+	if (now_ms >= deadline_ms || r->service->backends->len == 0) {
 		give_up(r);
 		return;
 	}
 	r->probe_round = 0;
 	r->wait_until_ms = now_ms + (RECHECK_MS << r->wait_count);
-	if (r->wait_until_ms > end)
-		r->wait_until_ms = end;
+	if (r->wait_until_ms > deadline_ms)
+		r->wait_until_ms = deadline_ms;
 	if (r->wait_count < RECHECK_DOUBLINGS_MAX)
 		r->wait_count++;
 	enqueue(r);
 	request_arm_timer(r);
 }
 
-/* request_queue_wait() is called when nobody has room: it waits or gives up. */
+/* Queues or refuses a request for which no server has capacity. */
 void request_queue_wait(struct request *r, int64_t now_ms)
 {
 	struct admit_request view = request_admission_view(r, now_ms);
@@ -228,13 +231,13 @@
 	} else if (room.all) {
 		wait_for_limit(r, &room, now_ms);
 	} else {
-		wait_for_room(r, now_ms);
+		wait_for_capacity(r, now_ms);
 	}
 }
 
 /*
- * request_queue_is_behind() tells whether others wait for the limits of servers that
- * are all in need, and go before r: what is earned next is theirs.
+ * Returns whether requests ahead of r wait for the limits of servers that are
+ * all limited: the next tokens are theirs.
  */
 bool request_queue_is_behind(const struct request *r, int64_t now_ms)
 {
@@ -245,8 +248,8 @@
 }
 
 /*
- * request_queue_yield() lets the first in the queue go before r, whose wait is
- * over, when a server in need takes one more; once, as the first may not want it.
+ * Lets the head of the queue go before r, whose wait is over, when a limited
+ * server has a token. Only once, as the head may not use it.
  */
 bool request_queue_yield(struct request *r, int64_t now_ms)
 {
--- a/traffic/request_queue.h
+++ b/traffic/request_queue.h
@@ -1,6 +1,6 @@
 /*
- * Requests that find no room: who waits, in which order and for how long, and who
- * is told at once to come back later.
+ * The queue of requests that find no capacity: which wait, in which order, for
+ * how long, and which are refused immediately.
  */
 #ifndef MP_TRAFFIC_REQUEST_QUEUE_H
 #define MP_TRAFFIC_REQUEST_QUEUE_H
--- a/traffic/request_select.c
+++ b/traffic/request_select.c
@@ -12,33 +12,34 @@
 #include "traffic/request_queue.h"
 
 enum {
-	PROBES_FIRST_ROUND = 2, /* servers of the own data centre asked first */
-	PROBES_LATER_ROUND = 3, /* servers asked in each later round */
+	PROBES_FIRST_ROUND = 2, /* servers of the own data centre */
+	PROBES_LATER_ROUND = 3, /* servers in each later round */
 	PROBE_ROUNDS = 2,
 	/*
-	 * Once a server with room has answered, the others get this long:
-	 * two round trips between data centres and a handshake.
+	 * After a server with capacity has answered, the remaining probes get
+	 * this long: two round trips between data centres and a handshake.
 	 */
 	FURTHER_ANSWERS_MS = 5,
 	/*
-	 * A round without any answer ends after this; a lost packet is
-	 * repeated after 200 ms, so longer waits bring nothing.
+	 * A round without any answer ends after this. A lost packet is
+	 * retransmitted after 200 ms, so waiting longer doesn't help.
 	 */
 	PROBE_ROUND_MS = 30,
 };
 
 /*
- * After a request that could be on time has missed room, others that can't
- * leave it to such for so long: a few waits, and the pause in which callers
- * that were refused come back.
+ * After a request that could have been on time found no capacity, requests that
+ * can't be on time leave the capacity to others for this long: a few rechecks
+ * and the pause after which refused callers return.
  */
 enum { SATURATION_MS = 400 };
 
 /*
- * An extra send is taken from the budget before a server is looked for, and
- * given back if none is found: between lie questions and waits, in which others
- * ask the budget. Of eight requests refused in the same milliseconds all were
- * sent again where four were allowed, as none had spent when the last asked.
+ * Charges an extra send to the budget before a server is selected; it is
+ * released if none is found. Probes and waits lie in between, and other
+ * requests check the budget meanwhile: without the reservation all of eight
+ * requests refused within the same milliseconds were sent again where four were
+ * allowed, as none had spent when the last one checked.
  */
 static void reserve_budget(struct request *r)
 {
@@ -56,8 +57,8 @@
 }
 
 /*
- * request_select_end() ends the select_reason at hand, if there is one. The caller
- * may send at once: what was reserved is there until others have had their turn.
+ * Ends the current selection, if any. The caller may send immediately: no other
+ * request runs before it, so the released budget is still there.
  */
 void request_select_end(struct request *r)
 {
@@ -68,7 +69,7 @@
 	r->wait_until_ms = 0;
 }
 
-/* Fills `out` with the servers that this select_reason may not ask again. */
+/* Fills `out` with the servers that are already probed or sent to. */
 static unsigned excluded_backends(const struct request *r, struct backend **out)
 {
 	unsigned n = 0;
@@ -80,24 +81,24 @@
 	return n;
 }
 
-/* Asks the servers of the next round; false when none is left to ask. */
+/* Starts the next probe round; returns false if no server is left to probe. */
 static bool start_probe_round(struct request *r, int64_t now_ms)
 {
-	struct backend *avoid[REQUEST_PROBES_MAX + REQUEST_SENDS_MAX];
-	struct backend *chosen[PLACE_ASK_MAX];
+	struct backend *excluded[REQUEST_PROBES_MAX + REQUEST_SENDS_MAX];
+	struct backend *servers[PLACE_ASK_MAX];
 	struct place_query q = {
 		.service = r->service,
 		.dc = r->traffic->settings->dc,
-		.avoid = avoid,
-		.navoid = excluded_backends(r, avoid),
+		.avoid = excluded,
+		.navoid = excluded_backends(r, excluded),
 		.own_dc_only = r->probe_round == 0,
 		.second = r->select_reason == SELECT_HEDGE,
 		.now_ms = now_ms,
 		.rand = r->traffic->rand,
 	};
-	unsigned want =
+	unsigned count =
 		r->probe_round == 0 ? PROBES_FIRST_ROUND : PROBES_LATER_ROUND;
-	unsigned n = place_choose(&q, want, chosen);
+	unsigned n = place_choose(&q, count, servers);
 	bool first = r->nprobes == 0 && r->wait_count == 0;
 
 	n = ask_budget_take(&r->traffic->probe_budget, &r->traffic->ask_rule,
@@ -105,15 +106,15 @@
 			    first ? 1 : 0, now_ms);
 
 	for (unsigned i = 0; i < n; i++)
-		probe_start(r, chosen[i]);
+		probe_start(r, servers[i]);
 	r->probe_round++;
 	r->round_end_ms = now_ms + PROBE_ROUND_MS;
 	return n > 0;
 }
 
 /*
- * request_service_is_saturated() tells whether requests of the service that could be on
- * time have found no room lately.
+ * Returns whether requests of the service that could be on time have found no
+ * capacity recently.
  */
 bool request_service_is_saturated(const struct request *r, int64_t now_ms)
 {
@@ -121,12 +122,12 @@
 	       now_ms - r->service->pressed_ms < SATURATION_MS;
 }
 
-/* Tells whether the request goes to a server that told its load. */
+/* Returns whether the request may be sent to b. */
 static bool is_eligible(const struct request *r, const struct backend *b,
 			double estimate_ms, int64_t now_ms)
 {
 	struct admit_request view = request_admission_view(r, now_ms);
-	bool told = service_tells_load(r->service);
+	bool reports_load = service_tells_load(r->service);
 	struct admit_server s = {
 		.work_ms = estimate_ms,
 		.way_ms = b->way_ms,
@@ -142,10 +143,10 @@
 	if (r->select_reason == SELECT_HEDGE && r->rescue)
 		return admit_takes_rescue(
 			&s, request_service_is_saturated(r, now_ms));
-	if (r->select_reason == SELECT_HEDGE && !told) {
+	if (r->select_reason == SELECT_HEDGE && !reports_load) {
 		/*
-		 * The first went to a server of unknown speed, and each keeps a
-		 * slot free anyway.
+		 * The first copy went to a server of unknown speed, and each
+		 * server keeps a slot free anyway.
 		 */
 		s.has_spare = s.has_room;
 		return admit_takes_second(&view, &s, false);
@@ -156,27 +157,27 @@
 	return admit_takes(&view, &s, request_service_is_saturated(r, now_ms));
 }
 
-/* Finds the best server that answered and suits; NULL: none. */
+/* Returns the best eligible server that has answered a probe, or NULL. */
 static struct probe *best_probe(struct request *r, int64_t now_ms)
 {
 	struct probe *best = NULL;
 	double best_rank = 0;
 
 	for (unsigned i = 0; i < r->nprobes; i++) {
-		struct probe *a = r->probes[i];
+		struct probe *p = r->probes[i];
 		double ms;
 
-		if (!a->upstream || !a->answered)
+		if (!p->upstream || !p->answered)
 			continue;
-		ms = place_estimate_ms(a->backend, r->stats->work.usual_ms,
+		ms = place_estimate_ms(p->backend, r->stats->work.usual_ms,
 				       now_ms);
 		double rank = place_rank_ms(
-			a->backend, r->traffic->settings->dc, ms, now_ms);
+			p->backend, r->traffic->settings->dc, ms, now_ms);
 
 		if ((best && rank >= best_rank) ||
-		    !is_eligible(r, a->backend, ms, now_ms))
+		    !is_eligible(r, p->backend, ms, now_ms))
 			continue;
-		best = a;
+		best = p;
 		best_rank = rank;
 	}
 	return best;
@@ -191,62 +192,63 @@
 	return false;
 }
 
-/* Sends to the chosen server on the connection that answered. */
-static void send_on_probe(struct request *r, struct probe *a)
+/* Sends the request on the connection of an answered probe. */
+static void send_on_probe(struct request *r, struct probe *p)
 {
-	struct upstream *u = a->upstream;
-	struct backend *b = backend_ref(a->backend);
+	struct upstream *u = p->upstream;
+	struct backend *b = backend_ref(p->backend);
 
-	a->upstream = NULL;
+	p->upstream = NULL;
 	request_select_end(r);
 	request_send(r, b, u);
 	backend_unref(b);
 }
 
-/* Lists the servers that may get the request; unref the array after use. */
+/* Returns the servers that may get the request; unref the array after use. */
 static GPtrArray *candidates(const struct request *r)
 {
-	struct backend *avoid[REQUEST_PROBES_MAX + REQUEST_SENDS_MAX];
+	struct backend *excluded[REQUEST_PROBES_MAX + REQUEST_SENDS_MAX];
 	struct place_query q = {.service = r->service,
-				.avoid = avoid,
-				.navoid = excluded_backends(r, avoid),
+				.avoid = excluded,
+				.navoid = excluded_backends(r, excluded),
 				.second = r->select_reason == SELECT_HEDGE,
 				.now_ms = clock_ms()};
 
 	return place_candidates(&q);
 }
 
-/* The service's policy picks among those that take new work. */
+/* Picks one of the candidates by the service's load-balancing policy. */
 static struct backend *pick_by_policy(struct request *r)
 {
 	const struct place_policy *p = r->service->policy;
-	GPtrArray *fit = candidates(r);
+	GPtrArray *servers = candidates(r);
 	struct backend *b = NULL;
 
-	if (fit->len)
-		b = fit->pdata[p->pick(p->priv, (struct backend **)fit->pdata,
-				       fit->len, r->traffic->rand)];
+	if (servers->len)
+		b = servers->pdata[p->pick(p->priv,
+					   (struct backend **)servers->pdata,
+					   servers->len, r->traffic->rand)];
 	if (b)
 		b->picked = ++r->traffic->policy_picks;
-	g_ptr_array_unref(fit);
+	g_ptr_array_unref(servers);
 	return b;
 }
 
 /*
- * Servers that tell no load: the admission decides on what the instances
- * together have there. Of several that suit as well one at random.
+ * Picks a server of a service that doesn't report load. Admission uses the
+ * in-flight counts of all instances; ties are broken at random.
  */
 static struct backend *pick_without_load(struct request *r, int64_t now_ms)
 {
-	GPtrArray *fit = candidates(r);
+	GPtrArray *servers = candidates(r);
 	struct backend *best = NULL;
 	double best_rank = 0;
 
-	for (guint i = 0; i < fit->len; i++) {
-		struct backend *b = fit->pdata[i];
+	for (guint i = 0; i < servers->len; i++) {
+		struct backend *b = servers->pdata[i];
 		double ms =
 			place_estimate_ms(b, r->stats->work.usual_ms, now_ms);
-		/* A tie-break that is small beside any real difference. */
+		/* Random tie-break, small against any real difference. */
 		double rank =
 			place_rank_ms(b, r->traffic->settings->dc, ms, now_ms) +
 			g_rand_double(r->traffic->rand);
@@ -257,22 +259,25 @@
 		best = b;
 		best_rank = rank;
 	}
-	g_ptr_array_unref(fit);
+	g_ptr_array_unref(servers);
 	return best;
 }
 
-/* Places without asking for load. */
+/* Selects a server without probing. */
 static void select_without_probes(struct request *r, int64_t now_ms)
 {
-	/* A connection that was quiet for long may be closed unseen. */
-	int64_t since = r->route->idempotent ? 0 : now_ms;
+	/*
+	 * Only for idempotent requests: an idle connection may be closed
+	 * unnoticed.
+	 */
+	int64_t idle_since_ms = r->route->idempotent ? 0 : now_ms;
 	struct backend *b;
 	struct upstream *u;
 
 	probes_release(r);
 	b = r->service->policy->asks ? pick_without_load(r, now_ms)
 				     : pick_by_policy(r);
-	u = b ? upstream_get(r->traffic, b, since) : NULL;
+	u = b ? upstream_get(r->traffic, b, idle_since_ms) : NULL;
 	if (!u) {
 		request_queue_wait(r, now_ms);
 		return;
@@ -281,7 +286,10 @@
 	request_send(r, b, u);
 }
 
-/* A verdict came while it was being placed: it ends, or its copy isn't sent. */
+/*
+ * Handles a quarantine verdict during the selection: the request is rejected,
+ * or, if a copy is in flight, no further copy is sent.
+ */
 static void abort_quarantined(struct request *r)
 {
 	request_select_end(r);
@@ -292,8 +300,8 @@
 }
 
 /*
- * request_select_step() chooses as soon as it is clear enough, and else waits
- * for more answers; called whenever one has come or a time is over.
+ * Selects a server as soon as the probe answers suffice, else waits for more.
+ * Called after each answer and when a round or wait has ended.
  */
 void request_select_step(struct request *r, int64_t now_ms)
 {
@@ -332,7 +340,7 @@
 		request_queue_wait(r, now_ms);
 }
 
-/* request_select_on_timer() goes on when the time of a round or wait is over. */
+/* Continues the selection when a probe round or wait has ended. */
 void request_select_on_timer(struct request *r, int64_t now_ms)
 {
 	if (r->wait_until_ms && now_ms >= r->wait_until_ms &&
@@ -347,8 +355,8 @@
 }
 
 /*
- * request_offer_capacity() gives room that a server has just told of to the first
- * request that waits for some.
+ * Sends the first suitable queued request to b, which has just reported
+ * capacity.
  */
 void request_offer_capacity(struct traffic *t, struct backend *b)
 {
@@ -358,12 +366,13 @@
 
 	for (GList *l = s->waiting.head; l; l = l->next) {
 		struct request *r = l->data;
-		struct backend *avoid[REQUEST_PROBES_MAX + REQUEST_SENDS_MAX];
-		unsigned n = excluded_backends(r, avoid);
+		struct backend
+			*excluded[REQUEST_PROBES_MAX + REQUEST_SENDS_MAX];
+		unsigned n = excluded_backends(r, excluded);
 		bool used = false;
 
 		for (unsigned i = 0; i < n; i++)
-			used = used || avoid[i] == b;
+			used = used || excluded[i] == b;
 		double ms =
 			place_estimate_ms(b, r->stats->work.usual_ms, now_ms);
 
@@ -380,8 +389,8 @@
 }
 
 /*
- * request_select() begins to look for a backend server. A request that was sent
- * before needs request_may_send_again() to have said so just now.
+ * Starts a server selection. A request that was sent before needs a positive
+ * request_may_send_again() immediately before.
  */
 void request_select(struct request *r, enum select_reason why)
 {
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -6,17 +6,17 @@
 #include "core/outlier.h"
 #include "misc/clock.h"
 #include "traffic/end_check.h"
+#include "traffic/inflight_report.h"
 #include "traffic/limit_sends.h"
 #include "traffic/request.h"
-#include "traffic/inflight_report.h"
 
-/* Weights of outcomes in the failure memory of a server. */
-static const double FAILURE_BROKEN = 1.0;	/* reset, cut or no message */
-static const double FAILURE_SERVER_ERROR = 1.0; /* its own 5xx */
-static const double FAILURE_TIMEOUT = 1.0;	/* no answer in time */
+/* Weights of outcomes in a server's failure score. */
+static const double FAILURE_BROKEN = 1.0; /* reset, truncated or invalid */
+static const double FAILURE_SERVER_ERROR = 1.0; /* the server's own 5xx */
+static const double FAILURE_TIMEOUT = 1.0;	/* no response in time */
 static const double SUCCESS_RELIEF = -0.7;
 
-/* Ends one send; its connection is already given away or closed. */
+/* Ends a send; its connection has been returned or closed already. */
 static void end_send(struct send *s)
 {
 	struct traffic *t = s->request->traffic;
@@ -31,8 +31,8 @@
 }
 
 /*
- * request_sends_end() breaks off what is still out: the request has its
- * answer, or nobody waits for it any more.
+ * Cancels all sends in flight: the request has its response, or nobody waits
+ * for one.
  */
 void request_sends_end(struct request *r)
 {
@@ -57,7 +57,7 @@
 	return HTTP_SKIP;
 }
 
-/* Learns from an answer how long work takes, and there. */
+/* Updates the models of the work time and of the server's speed. */
 static void record_duration(struct request *r, const struct send *s,
 			    int64_t now_ms)
 {
@@ -65,7 +65,10 @@
 		     (double)(now_ms - s->sent_ms), now_ms);
 }
 
-/* Goes on after a send that brought no answer for the caller. */
+/*
+ * Continues after a send without a usable response: retries, waits for another
+ * copy, or ends the request.
+ */
 static void after_failed_send(struct request *r, unsigned status,
 			      const char *why)
 {
@@ -77,7 +80,7 @@
 		request_reject_quarantined(r);
 		return;
 	}
-	/* Nobody waits for it any more: the outcome is all that is left. */
+	/* Without a caller only the outcome is left to record. */
 	if (r->conn && request_may_send_again(r)) {
 		request_log_retry(r, why);
 		request_select(r, SELECT_RETRY);
@@ -89,7 +92,7 @@
 		request_refuse(r, why);
 }
 
-/* The server says that it has not run the request. */
+/* Handles a response that says the server did not execute the request. */
 static void on_not_executed(struct request *r, struct send *s, unsigned status)
 {
 	r->maybe_executed--;
@@ -98,7 +101,7 @@
 	after_failed_send(r, 503, "server full");
 }
 
-/* The server has run the request and failed. */
+/* Handles a 5xx: the server executed the request and failed. */
 static void on_server_error(struct request *r, struct send *s,
 			    struct http_message *m, int64_t now_ms)
 {
@@ -116,6 +119,7 @@
 	request_forward_response(r, m);
 }
 
+/* Handles the awaited response: forwards it, or goes on if it isn't usable. */
 static void send_response(void *owner, struct http_message *m,
 			  const struct answer_info *info)
 {
@@ -124,7 +128,7 @@
 	int64_t now_ms = clock_ms();
 	struct upstream *u = s->upstream;
 
-	/* A server that sheds its load reports none: that is not room. */
+	/* A server that sheds load reports none; that isn't spare capacity. */
 	if (info->has_load && mechanisms.ask && info->backoff != BACKOFF_SET) {
 		s->backend->service->load_support = LOAD_TOLD;
 		s->backend->load = info->load;
@@ -144,7 +148,10 @@
 	end_check_answered(r->traffic, r->digest);
 	server_state_answered(s->backend->state, s->sent_ms);
 	if (m->status / 100 == 2 && !info->sealed) {
-		/* Not the server's own answer, whatever it looks like. */
+		/*
+		 * Without the receipt it wasn't written by the server, whatever
+		 * the status.
+		 */
 		http_message_free(m);
 		outlier_note(s->backend, FAILURE_BROKEN, now_ms);
 		after_failed_send(r, 502, "answer without receipt");
@@ -158,8 +165,8 @@
 }
 
 /*
- * The server became unavailable while its connection was opened. Nothing has left, so
- * the send is undone, without a charge to the retry budget.
+ * Undoes a send whose server became unavailable while connecting. Nothing has
+ * been sent, so the retry budget isn't charged.
  */
 static void withdraw(struct send *s, int64_t now_ms)
 {
@@ -191,6 +198,10 @@
 	after_failed_send(r, 503, "server takes nothing now");
 }
 
+/*
+ * Handles a send without a response: its connection failed, it timed out, or it
+ * was cancelled before its first byte.
+ */
 static void send_failed(void *owner, int err, bool sent)
 {
 	struct send *s = owner;
@@ -203,7 +214,7 @@
 	if (sent && err != -ETIMEDOUT) {
 		r->stats->broken++;
 		request_log_broken(r, s, err);
-		/* Bytes that are no answer come from one that lives. */
+		/* Invalid bytes come from a process that is alive. */
 		if (err != -EPROTO)
 			end_check_begin(r->traffic, s->backend, r->digest);
 	}
@@ -220,6 +231,7 @@
 static const struct upstream_ops send_ops = {send_judge, send_response,
 					     send_failed};
 
+/* Counts a send; an extra one is charged to the retry budget. */
 static void count_send(struct request *r, enum extra_cause cause,
 		       int64_t now_ms)
 {
@@ -235,9 +247,9 @@
 		r->stats->retries++;
 }
 
-/* When a second server gets the request, if none has answered; 0: never. */
-static int64_t hedge_time(struct request *r, const struct send *s,
-			  int64_t now_ms)
+/* Returns when to send a second copy if there is no response; 0: never. */
+static int64_t hedge_time_ms(struct request *r, const struct send *s,
+			     int64_t now_ms)
 {
 	if (!r->route->idempotent || r->nsends != 1)
 		return 0;
@@ -252,13 +264,13 @@
 	return now_ms + rescue_delay_ms(s->estimate_ms, r->route->target_ms);
 }
 
-/* request_send() sends the request to b on a connection it now owns. */
+/* Sends the request to b on u, which it takes over. */
 void request_send(struct request *r, struct backend *b, struct upstream *u)
 {
 	struct send *s = &r->sends[r->nsends];
 	enum extra_cause cause = request_extra_cause(r);
 	int64_t now_ms = clock_ms();
-	int64_t left = r->deadline_ms - now_ms;
+	int64_t left_ms = r->deadline_ms - now_ms;
 	struct buf bytes = {0};
 
 	r->nsends++;
@@ -277,14 +289,15 @@
 	r->maybe_executed++;
 	request_log_sent(r, s, now_ms);
 	limit_sends_take(s);
-	/* Its report is older than this request. */
+	/* The load report is older than this request. */
 	if (b->load.at_ms)
 		b->load.running++;
 	exchange_write_request(&bytes, r->message, &r->call, b,
-			       left > 1 ? (uint32_t)left : 1, r->traffic->via);
-	r->hedge_at_ms = hedge_time(r, s, now_ms);
-	/* The request's own time limit ends it; this is only a backstop. */
-	upstream_exchange(u, buf_lstr(&bytes), (double)left / 1000 + 1,
+			       left_ms > 1 ? (uint32_t)left_ms : 1,
+			       r->traffic->via);
+	r->hedge_at_ms = hedge_time_ms(r, s, now_ms);
+	/* Backstop; the request's own deadline fires first. */
+	upstream_exchange(u, buf_lstr(&bytes), (double)left_ms / 1000 + 1,
 			  lstr_eq(r->message->method, LSTR("HEAD")), &send_ops,
 			  s);
 	buf_free(&bytes);
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -11,37 +11,37 @@
 #include "member/advise.h"
 #include "platform/directory.h"
 #include "traffic/drain_news.h"
+#include "traffic/inflight_report.h"
 #include "traffic/limit_sends.h"
 #include "traffic/limits.h"
 #include "traffic/metrics.h"
 #include "traffic/request.h"
-#include "traffic/inflight_report.h"
 #include "traffic/traffic.h"
 #include "traffic/upstream.h"
 
 enum {
-	/* Until the first version names the callers' limits. */
+	/* Used until the first configuration sets the callers' limits. */
 	DEFAULT_HEAD_MAX = 16 * 1024,
 	DEFAULT_BODY_MAX = 64 << 20,
 	/*
-	 * A stopping instance takes requests this long: callers keep an
-	 * address for some seconds after they were told of another.
+	 * How long a stopping instance still accepts connections: callers keep
+	 * an address for some seconds after the directory names another.
 	 */
 	STOP_ACCEPT_MS = 3000,
 	STOP_CHECK_MS = 50,
-	/* Keys of protected calls that are remembered; 100 bytes each. */
+	/* Idempotency keys remembered, about 100 bytes each. */
 	DEDUP_KEYS_MAX = 50 * 1000,
-	/* Left of the grace time for the exit itself. */
+	/* Part of the grace time kept for the exit itself. */
 	STOP_RESERVE_MS = 400,
 };
 
 static const double DEFAULT_HEAD_TIMEOUT_S = 3;
 static const double DEFAULT_IDLE_TIMEOUT_S = 15;
 
-/* Time that a question to this instance's own services may take. */
+/* Time to receive a request head on the local service ports. */
 static const double LOCAL_HEAD_TIMEOUT_S = 5;
 
-/* traffic_class_stats() finds the statistics of a kind of request. */
+/* Returns the statistics of a request class, created on first use. */
 struct class_stats *traffic_class_stats(struct traffic *t, const char *service,
 					uint32_t target_ms)
 {
@@ -60,8 +60,8 @@
 }
 
 /*
- * traffic_count_backends() counts the backend servers that requests may go to: an
- * entry of the list whose service no version names brings none.
+ * Returns the number of backend servers that requests may be routed to. Listed
+ * servers whose service isn't in the configuration don't count.
  */
 unsigned traffic_count_backends(struct traffic *t)
 {
@@ -82,7 +82,7 @@
 						.body = body});
 }
 
-/* Ready: this instance can serve, and isn't stopping. */
+/* Readiness check: configured, has backend servers and isn't stopping. */
 static void on_ready(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct traffic *t = priv;
@@ -96,15 +96,15 @@
 			 struct http_message *m)
 {
 	struct traffic *t = priv;
-	const struct peer_brief *named[DIRECTORY_MAX];
+	const struct peer_brief *advised[DIRECTORY_MAX];
 	struct lstr addrs[DIRECTORY_MAX];
 	struct buf body = {0};
 	char dc[PEER_NAME_MAX];
-	bool question = directory_question(m->target, dc, sizeof(dc));
+	bool valid = directory_question(m->target, dc, sizeof(dc));
 	size_t n = 0;
 
 	http_message_free(m);
-	if (!question) {
+	if (!valid) {
 		reply_plain(c, 404, LSTR(""), LSTR(""));
 		return;
 	}
@@ -112,9 +112,10 @@
 	if (t->peers.named)
 		n = advise(
 			(const struct peer_brief *)(void *)t->peers.named->data,
-			t->peers.named->len, dc, t->rand, named, DIRECTORY_MAX);
+			t->peers.named->len, dc, t->rand, advised,
+			DIRECTORY_MAX);
 	for (size_t i = 0; i < n; i++)
-		addrs[i] = lstr0(named[i]->callers);
+		addrs[i] = lstr0(advised[i]->callers);
 	directory_write(&body, addrs, n, t->bounds.directory_keep_s);
 	reply_plain(c, 200, LSTR("Content-Type: application/msgpack\r\n"),
 		    buf_lstr(&body));
@@ -140,6 +141,10 @@
 					       request_caller_left};
 static const struct http_server_ops metrics_ops = {on_metrics, NULL};
 
+/*
+ * Closes connections to a removed server: all of them if its process has ended,
+ * else the idle ones.
+ */
 static void on_backend_gone(void *priv, struct backend *b, bool ended)
 {
 	if (ended)
@@ -148,7 +153,7 @@
 		upstream_drop_idle(b);
 }
 
-/* The callers' limits stand in the configuration. */
+/* Applies the caller-facing limits of the configuration. */
 static void apply_caller_limits(struct traffic *t,
 				const struct config_limits *l)
 {
@@ -188,7 +193,7 @@
 static void apply_config(struct traffic *t, struct config *c)
 {
 	mp_invariant(!t->config || c->version >= t->config->version,
-		     "configuration went back from %" G_GUINT64_FORMAT
+		     "configuration version went back from %" G_GUINT64_FORMAT
 		     " to %" G_GUINT64_FORMAT,
 		     t->config->version, c->version);
 	config_unref(t->config);
@@ -211,14 +216,18 @@
 	g_free(c);
 }
 
+/*
+ * Stops listening after a while and exits when no request is open, or when the
+ * grace time ends.
+ */
 static void on_shutdown_timer(struct ev_loop *loop, ev_timer *timer,
 			      int revents)
 {
 	struct traffic *t = timer->data;
-	int64_t since = clock_ms() - t->stopping_ms;
-	int64_t grace = (int64_t)(t->bounds.grace_s * 1000);
+	int64_t elapsed_ms = clock_ms() - t->stopping_ms;
+	int64_t grace_ms = (int64_t)(t->bounds.grace_s * 1000);
 
-	if (since < STOP_ACCEPT_MS && since < grace / 2)
+	if (elapsed_ms < STOP_ACCEPT_MS && elapsed_ms < grace_ms / 2)
 		return;
 	http_server_stop_listening(&t->caller_server);
 	http_server_stop_listening(&t->own_server);
@@ -226,7 +235,7 @@
 	http_server_close_idle(&t->own_server);
 	if ((http_server_busy(&t->caller_server) ||
 	     http_server_busy(&t->own_server)) &&
-	    since < grace - STOP_RESERVE_MS)
+	    elapsed_ms < grace_ms - STOP_RESERVE_MS)
 		return;
 	mp_event(EV_STOPPED, G_LOG_LEVEL_MESSAGE, "open_requests=%u",
 		 t->open_requests);
@@ -245,7 +254,7 @@
 	ev_timer_start(t->loop, &t->stop_timer);
 }
 
-/* The allowances of all instances together. */
+/* Applies the limits that all instances share. */
 static void apply_bounds(struct traffic *t, const struct bounds *b)
 {
 	t->bounds = *b;
@@ -256,8 +265,9 @@
 }
 
 /*
- * The part of an instance in what all share is by the most that this lifetime
- * knew of at once: one that is cut off hears fewer, and they all live.
+ * Applies a new view of the peers. Shared limits are divided by the highest
+ * instance count this lifetime has seen: a partitioned instance sees fewer
+ * peers, but they are all still running.
  */
 static void apply_peers(struct traffic *t, const struct peer_view *v)
 {
@@ -334,19 +344,20 @@
 static int open_servers(struct traffic *t)
 {
 	const struct instance_settings *s = t->settings;
-	struct http_server *own[] = {&t->readiness_server, &t->directory_server,
-				     &t->metrics_server, &t->own_server};
+	struct http_server *local[] = {&t->readiness_server,
+				       &t->directory_server, &t->metrics_server,
+				       &t->own_server};
 	int rc;
 
 	t->caller_server.limits =
 		(struct http_limits){DEFAULT_HEAD_MAX, DEFAULT_BODY_MAX};
 	t->caller_server.head_timeout_s = DEFAULT_HEAD_TIMEOUT_S;
 	t->caller_server.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
-	for (size_t i = 0; i < G_N_ELEMENTS(own); i++) {
-		own[i]->limits = (struct http_limits){DEFAULT_HEAD_MAX,
-						      DEFAULT_HEAD_MAX};
-		own[i]->head_timeout_s = LOCAL_HEAD_TIMEOUT_S;
-		own[i]->idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
+	for (size_t i = 0; i < G_N_ELEMENTS(local); i++) {
+		local[i]->limits = (struct http_limits){DEFAULT_HEAD_MAX,
+							DEFAULT_HEAD_MAX};
+		local[i]->head_timeout_s = LOCAL_HEAD_TIMEOUT_S;
+		local[i]->idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
 	}
 	rc = open_server(t, &t->caller_server, s->callers, &front_ops);
 	if (!rc)
@@ -363,8 +374,8 @@
 }
 
 /*
- * traffic_init() opens what the instance serves. Messages to the traffic
- * thread go through t->in. Returns 0 or a negative errno.
+ * Opens the listening sockets. Messages to the traffic thread go through
+ * t->inbox. Returns 0 or a negative errno.
  */
 int traffic_init(struct traffic *t, const struct instance_settings *s,
 		 const struct deploy *deploy, const struct control_view *view,
@@ -383,7 +394,7 @@
 		t->via = g_strdup_printf("%s-%08x", s->name, t->lifetime);
 	t->started_ms = clock_ms();
 	t->classes = g_hash_table_new(g_str_hash, g_str_equal);
-	/* Unknown yet: as many as a large system has. */
+	/* Not known yet: assume a large system. */
 	t->ask_rule.instances = 64;
 	t->budget_rule.instances = 1;
 	ask_budget_init(&t->probe_budget, t->started_ms);
@@ -398,7 +409,7 @@
 	return open_servers(t);
 }
 
-/* traffic_run() is the traffic thread; it ends after a planned stop. */
+/* Thread function; returns after a graceful shutdown. */
 void *traffic_run(void *traffic)
 {
 	struct traffic *t = traffic;
--- a/traffic/traffic.h
+++ b/traffic/traffic.h
@@ -1,6 +1,6 @@
 /*
- * The traffic thread of an entry instance: callers' requests, the directory
- * and readiness questions, and the metrics. It alone touches what is here.
+ * The traffic thread of an entry instance: callers' requests, the directory,
+ * readiness checks and metrics. Only this thread accesses its state.
  */
 #ifndef MP_TRAFFIC_TRAFFIC_H
 #define MP_TRAFFIC_TRAFFIC_H
@@ -19,31 +19,31 @@
 #include "http/server.h"
 #include "misc/hist.h"
 
-/* Requests of one kind: those of a service with the same target time. */
+/* Statistics of a request class: a service and a target latency. */
 struct class_stats {
 	char *name;
-	struct work_model work; /* how long its requests take */
+	struct work_model work; /* distribution of the work time */
 	struct patience patience;
 	uint64_t requests, served, late, refused, unknown, failed, gone;
 	uint64_t sends, hedges, retries, broken;
-	struct hist latency; /* of served ones, microseconds */
+	struct hist latency; /* of served requests, in microseconds */
 };
 
 struct traffic_counters {
 	uint64_t probes, probe_failures, foreign_answers, no_config, no_route;
 	uint64_t no_room, directory_answers;
 	uint64_t end_checks, ends_seen, quarantined;
-	uint64_t limits_bad;		       /* limits that are no number */
+	uint64_t limits_bad;		       /* invalid limit values */
 	uint64_t limits_given, limits_granted; /* sends, to and by peers */
-	uint64_t backoffs;		       /* asked for by servers */
-	uint64_t withdrawn;	 /* sends, right before they left */
-	uint64_t invalid_values; /* values of answers that were refused */
+	uint64_t backoffs;		       /* requested by servers */
+	uint64_t withdrawn;	 /* sends cancelled before their first byte */
+	uint64_t invalid_values; /* other invalid values in responses */
 };
 
 struct traffic {
 	struct ev_loop *loop;
-	const struct instance_settings *settings; /* as at the start */
-	struct bounds bounds;			  /* in force */
+	const struct instance_settings *settings; /* as of the start */
+	struct bounds bounds;			  /* currently in force */
 	struct mailbox inbox;
 	struct mailbox *control_inbox;
 	const struct control_view *control_view;
@@ -56,23 +56,23 @@
 	ev_timer inflight_report_timer;
 	bool inflight_report_pending;
 	struct peer_view peers;
-	unsigned max_instances; /* that lived at once, in this lifetime */
+	unsigned max_instances; /* the most seen at once in this lifetime */
 	struct budget_rule budget_rule;
 	struct ask_rule ask_rule;
 	struct ask_budget probe_budget;
 	GRand *rand;
-	uint32_t lifetime; /* names this start of the process in logs */
-	char *via;	   /* and to servers; NULL: it isn't named to them */
+	uint32_t lifetime; /* random id of this process start, for logs */
+	char *via;	   /* instance name sent to servers; NULL: none sent */
 	int64_t started_ms;
 	struct patience_spread spread;
-	int64_t last_failure_ms; /* a request was last refused or failed then */
+	int64_t last_failure_ms; /* last refused or failed request */
 	GHashTable *classes;	 /* name -> struct class_stats * */
 	struct traffic_counters counters;
 	unsigned open_requests;
-	uint64_t policy_picks; /* by policies, so far */
+	uint64_t policy_picks; /* servers picked by policies so far */
 	struct dedup dedup;
 	struct quarantine quarantine;
-	const struct deploy *deploy; /* of the own interface, or NULL */
+	const struct deploy *deploy; /* of the native interface, or NULL */
 	bool stopping;
 	ev_timer stop_timer;
 	int64_t stopping_ms;
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -7,25 +7,25 @@
 #include "traffic/upstream.h"
 
 /*
- * A handshake takes a round trip of about 1 ms and 1 ms of the server; a
- * server that hasn't answered by now is down or cut off.
+ * A handshake takes about 1 ms for the round trip and 1 ms at the server; a
+ * server that hasn't answered by then is down or unreachable.
  */
 static const double CONNECT_TIMEOUT_S = 0.1;
 
-/* A response may still be on its way after its request was given up. */
+/* How long a response to a cancelled request is still read. */
 static const double LINGER_S = 1.0;
 
-enum { HEAD_MAX = 64 * 1024, BODY_MAX = 64 << 20 }; /* bytes of an answer */
+enum { HEAD_MAX = 64 * 1024, BODY_MAX = 64 << 20 }; /* of a response, bytes */
 
-static unsigned opened; /* connections so far, for the metrics */
+static unsigned opened; /* connections opened so far */
 
-/* upstream_opened() counts the connections begun since the start. */
+/* Returns the number of connections opened since the start. */
 unsigned upstream_opened(void)
 {
 	return opened;
 }
 
-/* Takes u out of its server's list, of idle ones or those in use. */
+/* Removes u from its server's list of idle or busy connections. */
 static void unlink_upstream(struct upstream *u)
 {
 	void **list = u->idle ? &u->backend->conns : &u->backend->in_use;
@@ -51,18 +51,17 @@
 	g_free(u);
 }
 
-/* Feedback counts also if the owner skips the response. */
+/* Applies the server's feedback even if the owner skips the response. */
 static enum http_verdict judge(void *priv, const struct http_message *m)
 {
 	struct upstream *u = priv;
-	struct feedback answer = {.sent_ms = u->sent_ms,
-				  .question = u->is_probe};
+	struct feedback f = {.sent_ms = u->sent_ms, .question = u->is_probe};
 	enum http_verdict verdict;
 
-	exchange_read_answer(m, &answer.info);
-	verdict = u->ops->judge(u->owner, &answer.info);
-	answer.awaited = verdict == HTTP_TAKE;
-	feedback_apply(u->traffic, u->backend, &answer);
+	exchange_read_answer(m, &f.info);
+	verdict = u->ops->judge(u->owner, &f.info);
+	f.awaited = verdict == HTTP_TAKE;
+	feedback_apply(u->traffic, u->backend, &f);
 	return verdict;
 }
 
@@ -78,12 +77,13 @@
 static void on_unsolicited(void *priv, const struct http_message *m)
 {
 	struct upstream *u = priv;
-	struct feedback answer = {.awaited = false};
+	struct feedback f = {.awaited = false};
 
-	exchange_read_answer(m, &answer.info);
-	feedback_apply(u->traffic, u->backend, &answer);
+	exchange_read_answer(m, &f.info);
+	feedback_apply(u->traffic, u->backend, &f);
 }
 
+/* Checks the server's availability again just before the first byte. */
 static bool may_send(void *priv)
 {
 	const struct upstream *u = priv;
@@ -91,7 +91,7 @@
 	return backend_takes(u->backend, SEND_COMMITTED, clock_ms());
 }
 
-/* The connection ended; the owner must not use it any more. */
+/* Frees a closed connection and notifies its owner. */
 static void on_failed(void *priv, int err, bool sent)
 {
 	struct upstream *u = priv;
@@ -125,9 +125,9 @@
 }
 
 /*
- * upstream_get() holds a connection to b for the caller: an idle one used
- * since idle_since_ms, the last used first, or a new one. Returns NULL when
- * no socket can be had.
+ * Returns a connection to b, held by the caller: the most recently used idle
+ * one if it was used since idle_since_ms, else a new one. Returns NULL if no
+ * socket can be opened.
  */
 struct upstream *upstream_get(struct traffic *t, struct backend *b,
 			      int64_t idle_since_ms)
@@ -148,7 +148,7 @@
 	http_client_send(&u->http, bytes, timeout_s, head_request);
 }
 
-/* upstream_exchange() sends a request; the owner hears through ops. */
+/* Sends a request; the outcome is reported through ops. */
 void upstream_exchange(struct upstream *u, struct lstr bytes, double timeout_s,
 		       bool head_request, const struct upstream_ops *ops,
 		       void *owner)
@@ -159,7 +159,7 @@
 	exchange(u, bytes, timeout_s, head_request);
 }
 
-/* upstream_probe() sends a question for health and load. */
+/* Sends a health and load probe; the outcome is reported through ops. */
 void upstream_probe(struct upstream *u, struct lstr bytes, double timeout_s,
 		    const struct upstream_ops *ops, void *owner)
 {
@@ -169,7 +169,7 @@
 	exchange(u, bytes, timeout_s, false);
 }
 
-/* upstream_put() gives a connection back, to be kept if it is sound. */
+/* Returns a connection to the pool, or closes it if it can't be reused. */
 void upstream_put(struct upstream *u, int64_t now_ms)
 {
 	if (!u->http.reusable || u->backend->gone ||
@@ -200,9 +200,8 @@
 						 ignore_failure};
 
 /*
- * upstream_drop() gives a connection up. A backend server drops the request that it
- * works on for it; what it has answered before it sees that is still read for what it
- * says of the server.
+ * Gives up a held or idle connection. The server cancels the request it works
+ * on; a response it sent before is still read for its feedback.
  */
 void upstream_drop(struct upstream *u)
 {
@@ -215,7 +214,7 @@
 	free_upstream(u);
 }
 
-/* upstream_drop_idle() closes the idle connections to b. */
+/* Closes all idle connections to b. */
 void upstream_drop_idle(struct backend *b)
 {
 	for (struct upstream *u = b->conns, *next; u; u = next) {
@@ -225,8 +224,8 @@
 }
 
 /*
- * upstream_fail_all() closes all connections to b, whose process has ended:
- * what it had is lost, and its owners hear so without waiting for a timeout.
+ * Closes all connections to b, whose process has ended. Their requests are
+ * lost, and the owners are notified without waiting for a timeout.
  */
 void upstream_fail_all(struct backend *b)
 {
--- a/traffic/upstream.h
+++ b/traffic/upstream.h
@@ -1,6 +1,6 @@
 /*
- * Connections to backend servers, kept between requests. A connection is
- * either idle in its server's pool or held by one owner.
+ * A pool of connections to backend servers. A connection is either idle in its
+ * server's pool or held by one owner.
  */
 #ifndef MP_TRAFFIC_UPSTREAM_H
 #define MP_TRAFFIC_UPSTREAM_H
@@ -9,14 +9,14 @@
 #include "platform/exchange.h"
 #include "traffic/traffic.h"
 
-/* How an owner hears of what became of its request. */
+/* Callbacks of a connection's owner. */
 struct upstream_ops {
-	/* Whose answer is it? */
+	/* Decides whether a response is the awaited one. */
 	enum http_verdict (*judge)(void *owner, const struct answer_info *info);
-	/* The awaited answer; m belongs to the callee, `info` is of it. */
+	/* The awaited response with its decoded fields; the callee frees m. */
 	void (*response)(void *owner, struct http_message *m,
 			 const struct answer_info *info);
-	/* See struct http_client_ops; -ECANCELED: nothing has left. */
+	/* See struct http_client_ops. -ECANCELED: nothing was sent. */
 	void (*failed)(void *owner, int err, bool sent);
 };
 
@@ -24,12 +24,12 @@
 	struct http_client http;
 	struct traffic *traffic;
 	struct backend *backend;
-	struct upstream *next; /* of the server's, idle or in use */
+	struct upstream *next; /* in the server's idle or busy list */
 	bool idle;
-	int64_t last_used_ms;		/* its last answer */
-	int64_t sent_ms;		/* the request at hand */
-	bool is_probe;			/* that is one for health and load */
-	const struct upstream_ops *ops; /* the owner's */
+	int64_t last_used_ms;		/* when its last response arrived */
+	int64_t sent_ms;		/* when the current request was sent */
+	bool is_probe;			/* the current request is a probe */
+	const struct upstream_ops *ops; /* the owner's callbacks */
 	void *owner;
 };
 
