--- a/tests/bench.h
+++ b/tests/bench.h
@@ -52,7 +52,7 @@
 	int work_ms;
 	unsigned busy_slots; /* reported as used by other instances */
 	unsigned running, received, connections;
-	bool tells_load, dead;
+	bool reports_load, dead;
 	bool reset_probes; /* reset connections of probes, as a relay may */
 	bool unhealthy;	   /* respond 503 to probes, without a load */
 	const char *limit; /* Server-Limit of responses, or NULL */
@@ -148,7 +148,7 @@
 	bool error = s->script == SCRIPT_RUN_ERROR;
 
 	snprintf(body, sizeof(body), "body of %s", j->id);
-	if (s->tells_load)
+	if (s->reports_load)
 		snprintf(load, sizeof(load), "Server-Load: %u,0,2,100\r\n",
 			 s->busy_slots + s->running);
 	if (s->limit)
@@ -218,7 +218,7 @@
 	g_free(j);
 }
 
-static inline void server_health(struct server *s, struct http_conn *c)
+static inline void server_answer_probe(struct server *s, struct http_conn *c)
 {
 	char headers[256];
 
@@ -228,7 +228,7 @@
 		return;
 	}
 	snprintf(headers, sizeof(headers), "Instance-Id: %s\r\n", s->id);
-	if (s->tells_load && !s->unhealthy)
+	if (s->reports_load && !s->unhealthy)
 		snprintf(headers + strlen(headers), 80,
 			 "Server-Load: %u,0,2,100\r\n",
 			 s->busy_slots + s->running);
@@ -250,7 +250,7 @@
 
 	if (health) {
 		http_message_free(m);
-		server_health(s, c);
+		server_answer_probe(s, c);
 		return;
 	}
 	s->received++;
@@ -339,7 +339,7 @@
 	s->bench = b;
 	snprintf(s->id, sizeof(s->id), "i-%d", i);
 	s->work_ms = BENCH_WORK_MS;
-	s->tells_load = true;
+	s->reports_load = true;
 	s->http.head_timeout_s = s->http.idle_timeout_s = 10;
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", BENCH_PORT + i);
 	if (http_server_open(&s->http, b->loop, addr, &server_ops, s))
--- a/tests/bench_callers.h
+++ b/tests/bench_callers.h
@@ -75,7 +75,7 @@
 	http_client_close(&c->http);
 }
 
-static inline bool caller_has_own_body(const struct caller *c)
+static inline bool caller_got_own_body(const struct caller *c)
 {
 	char want[64];
 
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -24,7 +24,7 @@
 
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 		assert_int_equal(bench_runs(b, c), 1);
 	}
 	/* Connections are reused: at most a few per server. */
@@ -305,7 +305,7 @@
 	struct bench *b = bench_new(3);
 
 	for (int i = 0; i < 3; i++)
-		b->servers[i].tells_load = false;
+		b->servers[i].reports_load = false;
 	for (int i = 0; i < 20; i++) {
 		struct caller *c = bench_call(b, i % 2 ? "GET" : "POST", 1000);
 
@@ -330,7 +330,7 @@
 	struct peer_load l = {.peer = 9, .n = 1};
 	struct caller *c;
 
-	b->servers[0].tells_load = b->servers[1].tells_load = false;
+	b->servers[0].reports_load = b->servers[1].reports_load = false;
 	c = bench_call(b, "GET", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 200);
@@ -445,7 +445,7 @@
 			fail_msg("seed %u: %s ran %u times", seed, c->id, runs);
 		if (post && c->status == 503 && runs)
 			fail_msg("seed %u: %s refused, but ran", seed, c->id);
-		if (c->status == 200 && !caller_has_own_body(c))
+		if (c->status == 200 && !caller_got_own_body(c))
 			fail_msg("seed %u: %s got a foreign body", seed, c->id);
 		if (!c->disconnected && !c->status)
 			fail_msg("seed %u: %s got no answer", seed, c->id);
--- a/tests/test_request_send.c
+++ b/tests/test_request_send.c
@@ -38,7 +38,7 @@
 		get = bench_call(b, "GET", 1000);
 		bench_run_until(b, get);
 		assert_int_equal(get->status, 200);
-		assert_true(caller_has_own_body(get));
+		assert_true(caller_got_own_body(get));
 		bench_free(b);
 	}
 }
@@ -56,7 +56,7 @@
 
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 		on_time += clock_ms() - t0 < 200;
 	}
 	assert_true(on_time >= 7);
@@ -78,7 +78,7 @@
 		c = bench_call(b, "GET", 1000);
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 	}
 	/* Non-idempotent requests are not rescued. */
 	b->servers[1].dead = true;
@@ -131,7 +131,7 @@
 
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 	}
 	/* Nor one that arrives later, on an idle connection. */
 	bench_script(b, 0, SCRIPT_TWICE_LATE);
@@ -140,7 +140,7 @@
 
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 		bench_run_ms(b, i * 3);
 	}
 	bench_free(b);
--- a/tests/test_server_backoff.c
+++ b/tests/test_server_backoff.c
@@ -72,7 +72,7 @@
 	for (int told = 0; told < 2; told++) {
 		struct bench *b = bench_new(2);
 
-		b->servers[0].tells_load = b->servers[1].tells_load = told;
+		b->servers[0].reports_load = b->servers[1].reports_load = told;
 		ask_to_back_off(b, 0, "Retry-After: 0.5\r\n");
 		assert_gets_nothing(b, 0, 450);
 		assert_serves(b, 0, 600);
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -168,7 +168,7 @@
 		struct caller *c;
 		int to;
 
-		b->servers[0].tells_load = b->servers[1].tells_load = false;
+		b->servers[0].reports_load = b->servers[1].reports_load = false;
 		s->load_support = LOAD_NOT_TOLD;
 		b->traffic.budget_rule.ratio = b->traffic.budget_rule.slack = 0;
 		c = bench_call(b, idempotent ? "GET" : "POST", 1000);
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -168,7 +168,7 @@
  * Undoes a send whose server became unavailable while connecting. Nothing has
  * been sent, so the retry budget isn't charged.
  */
-static void withdraw(struct send *s, int64_t now_ms)
+static void cancel_unsent_send(struct send *s, int64_t now_ms)
 {
 	struct request *r = s->request;
 	bool last = s == &r->sends[r->nsends - 1];
@@ -208,7 +208,7 @@
 	struct request *r = s->request;
 
 	if (err == -ECANCELED) {
-		withdraw(s, clock_ms());
+		cancel_unsent_send(s, clock_ms());
 		return;
 	}
 	if (sent && err != -ETIMEDOUT) {
