--- a/tests/bench.h
+++ b/tests/bench.h
@@ -244,7 +244,7 @@
 {
 	struct server *s = priv;
 	struct lstr id = http_find(m, LSTR("Attempt-Id"));
-	struct lstr only = http_find(m, LSTR("Target-Instance"));
+	struct lstr wanted_id = http_find(m, LSTR("Target-Instance"));
 	bool health = lstr_eq(m->target, LSTR("/health"));
 	struct job *j;
 
@@ -256,7 +256,7 @@
 	s->received++;
 	if (s->http.nconns > s->connections)
 		s->connections = s->http.nconns;
-	if (s->script == SCRIPT_REFUSE || !lstr_eq(only, lstr0(s->id))) {
+	if (s->script == SCRIPT_REFUSE || !lstr_eq(wanted_id, lstr0(s->id))) {
 		http_message_free(m);
 		server_refuse(s, c);
 		return;
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -424,13 +424,13 @@
 
 	b->traffic.budget_rule.ratio = 1000;
 	for (int i = 0; i < 120; i++) {
-		bool post = g_rand_boolean(rand);
+		bool is_post = g_rand_boolean(rand);
 
 		bench_script(
 			b, g_rand_int_range(rand, 0, 4),
 			(enum script)g_rand_int_range(rand, 0, SCRIPT_COUNT));
 		bench_script(b, g_rand_int_range(rand, 0, 4), SCRIPT_SERVE);
-		calls[i] = bench_call(b, post ? "POST" : "GET", 400);
+		calls[i] = bench_call(b, is_post ? "POST" : "GET", 400);
 		bench_run_ms(b, g_rand_int_range(rand, 0, 12));
 		if (g_rand_int_range(rand, 0, 15) == 0 && calls[i]->open)
 			caller_disconnect(calls[i]);
@@ -439,16 +439,18 @@
 	for (int i = 0; i < 120; i++) {
 		struct caller *c = calls[i];
 		unsigned runs = bench_runs(b, c);
-		bool post = !strcmp(c->method, "POST");
-
-		if (post && runs > 1)
-			fail_msg("seed %u: %s ran %u times", seed, c->id, runs);
-		if (post && c->status == 503 && runs)
-			fail_msg("seed %u: %s refused, but ran", seed, c->id);
+		bool is_post = !strcmp(c->method, "POST");
+
+		if (is_post && runs > 1)
+			fail_msg("seed %u: %s executed %u times", seed, c->id,
+				 runs);
+		if (is_post && c->status == 503 && runs)
+			fail_msg("seed %u: %s refused, but executed", seed,
+				 c->id);
 		if (c->status == 200 && !caller_got_own_body(c))
-			fail_msg("seed %u: %s got a foreign body", seed, c->id);
+			fail_msg("seed %u: %s got another's body", seed, c->id);
 		if (!c->disconnected && !c->status)
-			fail_msg("seed %u: %s got no answer", seed, c->id);
+			fail_msg("seed %u: %s got no response", seed, c->id);
 	}
 	assert_int_equal(b->traffic.open_requests, 0);
 	bench_free(b);
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -18,12 +18,12 @@
 	return g_hash_table_lookup(b->traffic.backends.by_id, b->servers[i].id);
 }
 
-static void assert_feedback_applied(struct bench *b, bool heard)
+static void assert_feedback_applied(struct bench *b, bool applied)
 {
-	const struct server_state *m = backend_of(b, 0)->state;
+	const struct server_state *s = backend_of(b, 0)->state;
 
-	assert_int_equal(m->backoff_until_ms > clock_ms() + 8000, heard);
-	assert_int_equal(m->draining, heard);
+	assert_int_equal(s->backoff_until_ms > clock_ms() + 8000, applied);
+	assert_int_equal(s->draining, applied);
 }
 
 static enum http_verdict take(void *owner, const struct answer_info *info)
@@ -166,7 +166,7 @@
 		struct bench *b = bench_new(2);
 		struct service *s = backend_of(b, 0)->service;
 		struct caller *c;
-		int to;
+		int first;
 
 		b->servers[0].reports_load = b->servers[1].reports_load = false;
 		s->load_support = LOAD_NOT_TOLD;
@@ -175,15 +175,15 @@
 		while (!backend_of(b, 0)->in_flight &&
 		       !backend_of(b, 1)->in_flight)
 			ev_run(b->loop, EVRUN_ONCE);
-		to = backend_of(b, 1)->in_flight ? 1 : 0;
-		assert_int_equal(b->servers[to].received, 0);
-		server_state_back_off(backend_of(b, to)->state, 5, 0,
+		first = backend_of(b, 1)->in_flight ? 1 : 0;
+		assert_int_equal(b->servers[first].received, 0);
+		server_state_back_off(backend_of(b, first)->state, 5, 0,
 				      clock_ms());
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_int_equal(b->servers[to].received, 0);
+		assert_int_equal(b->servers[first].received, 0);
 		assert_int_equal(b->traffic.counters.withdrawn, 1);
-		assert_int_equal(backend_of(b, to)->in_flight, 0);
+		assert_int_equal(backend_of(b, first)->in_flight, 0);
 		assert_int_equal(budget_spent(&s->account), 0);
 		assert_int_equal(s->budget.out, 0);
 		bench_free(b);
