--- a/traffic/end_check.c
+++ b/traffic/end_check.c
@@ -185,7 +185,7 @@
 
 static bool may_ask(struct traffic *t)
 {
-	return ask_budget_take(&t->probe_budget, &t->ask_rule,
+	return ask_budget_take(&t->probe_limiter, &t->ask_rule,
 			       traffic_count_backends(t), 1, 1,
 			       clock_ms()) == 1;
 }
--- a/traffic/request_select.c
+++ b/traffic/request_select.c
@@ -101,7 +101,7 @@
 	unsigned n = place_choose(&q, count, servers);
 	bool first = r->nprobes == 0 && r->wait_count == 0;
 
-	n = ask_budget_take(&r->traffic->probe_budget, &r->traffic->ask_rule,
+	n = ask_budget_take(&r->traffic->probe_limiter, &r->traffic->ask_rule,
 			    traffic_count_backends(r->traffic), n,
 			    first ? 1 : 0, now_ms);
 
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -397,7 +397,7 @@
 	/* Not known yet: assume a large system. */
 	t->ask_rule.instances = 64;
 	t->budget_rule.instances = 1;
-	ask_budget_init(&t->probe_budget, t->started_ms);
+	ask_budget_init(&t->probe_limiter, t->started_ms);
 	apply_bounds(t, &s->bounds);
 	inflight_report_init(t);
 	limits_init(t);
--- a/traffic/traffic.h
+++ b/traffic/traffic.h
@@ -59,7 +59,7 @@
 	unsigned max_instances; /* the most seen at once in this lifetime */
 	struct budget_rule budget_rule;
 	struct ask_rule ask_rule;
-	struct ask_budget probe_budget;
+	struct ask_budget probe_limiter;
 	GRand *rand;
 	uint32_t lifetime; /* random id of this process start, for logs */
 	char *via;	   /* instance name sent to servers; NULL: none sent */
