--- a/tests/bench.h
+++ b/tests/bench.h
@@ -1,6 +1,6 @@
 /*
- * A traffic side with callers and scripted backend servers, all on loopback
- * and on one loop, for tests. Servers misbehave as their script says.
+ * Test bench: the traffic thread's code with callers and scripted backend
+ * servers, all on loopback and on one event loop.
  */
 #ifndef MP_TESTS_BENCH_H
 #define MP_TESTS_BENCH_H
@@ -20,7 +20,7 @@
 
 enum {
 	BENCH_SERVERS = 8,
-	BENCH_PORT = 17300, /* servers; the traffic side's follow */
+	BENCH_PORT = 17300, /* first server port; the traffic ports follow */
 	BENCH_TIMEOUT_MS = 600,
 	BENCH_TARGET_MS = 200,
 	BENCH_WORK_MS = 5,
@@ -28,18 +28,18 @@
 
 enum script {
 	SCRIPT_SERVE,
-	SCRIPT_REFUSE,	    /* says that it didn't run the request */
-	SCRIPT_RUN_RESET,   /* runs it and resets the connection */
-	SCRIPT_RUN_CUT,	    /* runs it and breaks off within the answer */
-	SCRIPT_RUN_GARBAGE, /* runs it and sends what is no message */
-	SCRIPT_RUN_ERROR,   /* runs it and answers 500 */
-	SCRIPT_HANG,	    /* takes it and never answers */
-	SCRIPT_TWICE,	    /* answers twice at once */
-	SCRIPT_TWICE_LATE,  /* the second answer comes some ms later */
-	SCRIPT_UNSEALED,    /* answers without its receipt */
-	SCRIPT_REFUSE_LATE, /* says so after some ms, as from a queue */
-	SCRIPT_COUNT,	    /* of those that played days draw */
-	SCRIPT_END = SCRIPT_COUNT, /* its process ends under the request */
+	SCRIPT_REFUSE,		   /* responds "not executed" */
+	SCRIPT_RUN_RESET,	   /* executes and resets the connection */
+	SCRIPT_RUN_CUT,		   /* executes and truncates the response */
+	SCRIPT_RUN_GARBAGE,	   /* executes and sends invalid bytes */
+	SCRIPT_RUN_ERROR,	   /* executes and responds 500 */
+	SCRIPT_HANG,		   /* never responds */
+	SCRIPT_TWICE,		   /* sends the response twice */
+	SCRIPT_TWICE_LATE,	   /* sends it again some ms later */
+	SCRIPT_UNSEALED,	   /* responds without the receipt */
+	SCRIPT_REFUSE_LATE,	   /* responds "not executed" after work_ms */
+	SCRIPT_COUNT,		   /* number of randomly chosen scripts */
+	SCRIPT_END = SCRIPT_COUNT, /* the process exits during the request */
 };
 
 struct bench;
@@ -50,26 +50,26 @@
 	char id[BACKEND_NAME_MAX];
 	enum script script;
 	int work_ms;
-	unsigned busy; /* slots taken by others, as it reports */
+	unsigned busy_slots; /* reported as used by other instances */
 	unsigned running, received, connections;
-	bool tells_load, dead;
-	bool mute; /* questions for its health are reset, as by a relay */
-	bool ill;  /* its health answer is 503, without a load */
-	const char *limit; /* that its answers name; NULL: none */
-	const char *says;  /* more header lines of its answers; NULL: none */
-	const char *tail;  /* bytes behind each answer; NULL: none */
-	int tail_ms;	   /* they come so much later; 0: at once */
-	const char *says_asked; /* and of those to questions */
-	unsigned asked;		/* questions so far */
+	bool reports_load, dead;
+	bool reset_probes; /* reset connections of probes, as a relay may */
+	bool unhealthy;	   /* respond 503 to probes, without a load */
+	const char *limit; /* Server-Limit of responses, or NULL */
+	const char *extra_headers; /* further lines of responses, or NULL */
+	const char *tail;	   /* bytes after each response, or NULL */
+	int tail_ms;		   /* their delay; 0: sent with the response */
+	const char *probe_headers; /* further lines of probe responses */
+	unsigned probes;	   /* probes received */
 };
 
-/* A request at a server. */
+/* A request being executed by a server. */
 struct job {
 	struct server *server;
 	struct http_conn *conn;
 	char id[32];
 	ev_timer timer;
-	bool refuse; /* it was not run, and the answer says so */
+	bool refuse; /* not executed: respond so when done */
 };
 
 struct caller {
@@ -80,44 +80,45 @@
 	unsigned status;
 	double retry_after;
 	char body[64];
-	bool open, left;
+	bool open, disconnected;
 };
 
 struct bench {
 	struct ev_loop *loop;
 	struct instance_settings settings;
 	struct traffic traffic;
-	struct mailbox control; /* nobody runs it: its messages stay */
+	struct mailbox control; /* never read: messages stay queued */
 	struct control_view view;
 	struct server servers[BENCH_SERVERS];
 	int n;
-	GHashTable *ran; /* id -> count */
+	GHashTable *executions; /* request id -> number of executions */
 	GPtrArray *callers;
 	unsigned ids;
 	struct caller *until;
 };
 
-/* Says that it didn't run the request. */
+/* Responds "not executed". */
 static inline void server_refuse(struct server *s, struct http_conn *c)
 {
 	char headers[256];
 
 	snprintf(headers, sizeof(headers), "Not-Executed: 1\r\n%s",
-		 s->says ? s->says : "");
+		 s->extra_headers ? s->extra_headers : "");
 	http_conn_reply(c, &(struct http_reply){.status = 503,
 						.headers = lstr0(headers)});
 }
 
-/* Bytes that come a while after an answer, whatever becomes of its connection. */
-struct late_bytes {
+/* Bytes sent some time after a response, whatever happens to its connection. */
+struct delayed_bytes {
 	ev_timer timer;
 	int fd;
 	struct buf bytes;
 };
 
-static inline void on_late_bytes(struct ev_loop *loop, ev_timer *t, int revents)
+static inline void on_delayed_bytes(struct ev_loop *loop, ev_timer *t,
+				    int revents)
 {
-	struct late_bytes *l = t->data;
+	struct delayed_bytes *l = t->data;
 
 	ev_timer_stop(loop, t);
 	(void)!send(l->fd, l->bytes.ptr, l->bytes.len, MSG_NOSIGNAL);
@@ -126,13 +127,14 @@
 	g_free(l);
 }
 
-static inline void send_late(struct bench *b, int fd, struct lstr bytes, int ms)
+static inline void send_delayed(struct bench *b, int fd, struct lstr bytes,
+				int ms)
 {
-	struct late_bytes *l = g_new0(struct late_bytes, 1);
+	struct delayed_bytes *l = g_new0(struct delayed_bytes, 1);
 
 	l->fd = dup(fd);
 	buf_add_lstr(&l->bytes, bytes);
-	ev_timer_init(&l->timer, on_late_bytes, ms / 1000.0, 0);
+	ev_timer_init(&l->timer, on_delayed_bytes, ms / 1000.0, 0);
 	l->timer.data = l;
 	ev_timer_start(b->loop, &l->timer);
 }
@@ -146,9 +148,9 @@
 	bool error = s->script == SCRIPT_RUN_ERROR;
 
 	snprintf(body, sizeof(body), "body of %s", j->id);
-	if (s->tells_load)
+	if (s->reports_load)
 		snprintf(load, sizeof(load), "Server-Load: %u,0,2,100\r\n",
-			 s->busy + s->running);
+			 s->busy_slots + s->running);
 	if (s->limit)
 		snprintf(limit, sizeof(limit), "Server-Limit: %s\r\n",
 			 s->limit);
@@ -158,7 +160,8 @@
 		     error ? 500 : 200, j->id,
 		     s->script == SCRIPT_UNSEALED ? ""
 						  : "Response-Seal: x.1\r\n",
-		     load, limit, s->says ? s->says : "", strlen(body), body);
+		     load, limit, s->extra_headers ? s->extra_headers : "",
+		     strlen(body), body);
 	http_conn_set_user(c, NULL);
 	if (s->script == SCRIPT_END) {
 		s->dead = true;
@@ -181,10 +184,11 @@
 		for (int i = 0; i < copies; i++)
 			buf_add(&b, text, (size_t)n);
 		if (s->script == SCRIPT_TWICE_LATE)
-			send_late(s->bench, c->fd,
-				  (struct lstr){text, (size_t)n}, 3);
+			send_delayed(s->bench, c->fd,
+				     (struct lstr){text, (size_t)n}, 3);
 		if (s->tail && s->tail_ms)
-			send_late(s->bench, c->fd, lstr0(s->tail), s->tail_ms);
+			send_delayed(s->bench, c->fd, lstr0(s->tail),
+				     s->tail_ms);
 		else if (s->tail)
 			buf_add_lstr(&b, lstr0(s->tail));
 		http_conn_reply_raw(c, buf_lstr(&b), false);
@@ -202,7 +206,7 @@
 	g_free(j);
 }
 
-static inline void server_gone(void *priv, struct http_conn *c)
+static inline void server_connection_closed(void *priv, struct http_conn *c)
 {
 	struct server *s = priv;
 	struct job *j = http_conn_user(c);
@@ -214,23 +218,25 @@
 	g_free(j);
 }
 
-static inline void server_health(struct server *s, struct http_conn *c)
+static inline void server_answer_probe(struct server *s, struct http_conn *c)
 {
 	char headers[256];
 
-	s->asked++;
-	if (s->mute) {
+	s->probes++;
+	if (s->reset_probes) {
 		http_conn_abort(c);
 		return;
 	}
 	snprintf(headers, sizeof(headers), "Instance-Id: %s\r\n", s->id);
-	if (s->tells_load && !s->ill)
+	if (s->reports_load && !s->unhealthy)
 		snprintf(headers + strlen(headers), 80,
-			 "Server-Load: %u,0,2,100\r\n", s->busy + s->running);
-	if (s->says_asked)
-		strcat(headers, s->says_asked);
-	http_conn_reply(c, &(struct http_reply){.status = s->ill ? 503 : 200,
-						.headers = lstr0(headers)});
+			 "Server-Load: %u,0,2,100\r\n",
+			 s->busy_slots + s->running);
+	if (s->probe_headers)
+		strcat(headers, s->probe_headers);
+	http_conn_reply(c,
+			&(struct http_reply){.status = s->unhealthy ? 503 : 200,
+					     .headers = lstr0(headers)});
 }
 
 static inline void server_request(void *priv, struct http_conn *c,
@@ -238,19 +244,19 @@
 {
 	struct server *s = priv;
 	struct lstr id = http_find(m, LSTR("Attempt-Id"));
-	struct lstr only = http_find(m, LSTR("Target-Instance"));
+	struct lstr wanted_id = http_find(m, LSTR("Target-Instance"));
 	bool health = lstr_eq(m->target, LSTR("/health"));
 	struct job *j;
 
 	if (health) {
 		http_message_free(m);
-		server_health(s, c);
+		server_answer_probe(s, c);
 		return;
 	}
 	s->received++;
 	if (s->http.nconns > s->connections)
 		s->connections = s->http.nconns;
-	if (s->script == SCRIPT_REFUSE || !lstr_eq(only, lstr0(s->id))) {
+	if (s->script == SCRIPT_REFUSE || !lstr_eq(wanted_id, lstr0(s->id))) {
 		http_message_free(m);
 		server_refuse(s, c);
 		return;
@@ -262,9 +268,10 @@
 	http_message_free(m);
 	if (s->script != SCRIPT_REFUSE_LATE)
 		g_hash_table_replace(
-			s->bench->ran, g_strdup(j->id),
-			GINT_TO_POINTER(1 + GPOINTER_TO_INT(g_hash_table_lookup(
-						    s->bench->ran, j->id))));
+			s->bench->executions, g_strdup(j->id),
+			GINT_TO_POINTER(1 +
+					GPOINTER_TO_INT(g_hash_table_lookup(
+						s->bench->executions, j->id))));
 	j->refuse = s->script == SCRIPT_REFUSE_LATE;
 	s->running++;
 	http_conn_set_user(c, j);
@@ -274,7 +281,8 @@
 		ev_timer_start(s->bench->loop, &j->timer);
 }
 
-static const struct http_server_ops server_ops = {server_request, server_gone};
+static const struct http_server_ops server_ops = {server_request,
+						  server_connection_closed};
 
 static inline struct config *bench_config(void)
 {
@@ -331,7 +339,7 @@
 	s->bench = b;
 	snprintf(s->id, sizeof(s->id), "i-%d", i);
 	s->work_ms = BENCH_WORK_MS;
-	s->tells_load = true;
+	s->reports_load = true;
 	s->http.head_timeout_s = s->http.idle_timeout_s = 10;
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", BENCH_PORT + i);
 	if (http_server_open(&s->http, b->loop, addr, &server_ops, s))
@@ -344,11 +352,11 @@
 	return g_strdup_printf("127.0.0.1:%d", BENCH_PORT + 50 + i);
 }
 
-static inline void bench_mail(void *priv, struct mail *m)
+static inline void ignore_mail(void *priv, struct mail *m)
 {
 }
 
-/* Makes a bench with n calm servers. */
+/* Creates a bench with n healthy servers. */
 static inline struct bench *bench_new(int n)
 {
 	struct bench *b = g_new0(struct bench, 1);
@@ -362,7 +370,7 @@
 	s->metrics = bench_addr(3);
 	s->policy = mechanisms;
 	s->bounds = (struct bounds){.grace_s = 6,
-				    /* Ten at once for each request. */
+				    /* Ten extra sends a request at once. */
 				    .retry_ratio = 30,
 				    .retry_slack = 200,
 				    .retry_window_s = 10,
@@ -374,7 +382,8 @@
 	b->loop = b->traffic.loop;
 	b->traffic.probe_rate.instances = 1;
 	b->traffic.config = bench_config();
-	b->ran = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
+	b->executions =
+		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	b->callers = g_ptr_array_new();
 	b->n = n;
 	for (int i = 0; i < n; i++)
@@ -387,7 +396,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-/* Lets everything run for some milliseconds. */
+/* Runs the event loop for some milliseconds. */
 static inline void bench_run_ms(struct bench *b, int ms)
 {
 	ev_timer t;
@@ -399,7 +408,7 @@
 	ev_timer_stop(b->loop, &t);
 }
 
-/* Runs until a caller has its answer, or far too long. */
+/* Runs the event loop until a caller has its response, at most 2000 steps. */
 static inline void bench_run_until(struct bench *b, struct caller *c)
 {
 	for (int i = 0; i < 2000 && c->open; i++)
@@ -410,7 +419,7 @@
 
 static inline unsigned bench_runs(const struct bench *b, const struct caller *c)
 {
-	return GPOINTER_TO_UINT(g_hash_table_lookup(b->ran, c->id));
+	return GPOINTER_TO_UINT(g_hash_table_lookup(b->executions, c->id));
 }
 
 static inline void bench_script(struct bench *b, int i, enum script script)
@@ -423,7 +432,7 @@
 	bench_put(b, i, true);
 }
 
-/* Server i has started again under its id: the list says so. */
+/* Announces a restart of server i under the same id. */
 static inline void bench_restart(struct bench *b, int i, uint64_t born_ms)
 {
 	struct backend *known = g_hash_table_lookup(b->traffic.backends.by_id,
@@ -460,13 +469,13 @@
 		if (!b->servers[i].dead)
 			http_server_close(&b->servers[i].http);
 	}
-	http_server_close(&b->traffic.front);
-	http_server_close(&b->traffic.ready);
-	http_server_close(&b->traffic.directory);
-	http_server_close(&b->traffic.metrics);
+	http_server_close(&b->traffic.caller_server);
+	http_server_close(&b->traffic.readiness_server);
+	http_server_close(&b->traffic.directory_server);
+	http_server_close(&b->traffic.metrics_server);
 	ev_loop_destroy(b->loop);
 	g_ptr_array_unref(b->callers);
-	g_hash_table_unref(b->ran);
+	g_hash_table_unref(b->executions);
 	g_free(b);
 }
 
--- a/tests/bench_callers.h
+++ b/tests/bench_callers.h
@@ -1,4 +1,4 @@
-/* The callers of a bench; a part of tests/bench.h. */
+/* Callers of a test bench; included by tests/bench.h. */
 #ifndef MP_TESTS_BENCH_CALLERS_H
 #define MP_TESTS_BENCH_CALLERS_H
 
@@ -68,14 +68,14 @@
 			       limit_ms);
 }
 
-static inline void caller_leave(struct caller *c)
+static inline void caller_disconnect(struct caller *c)
 {
-	c->left = true;
+	c->disconnected = true;
 	c->open = false;
 	http_client_close(&c->http);
 }
 
-static inline bool caller_has_own_body(const struct caller *c)
+static inline bool caller_got_own_body(const struct caller *c)
 {
 	char want[64];
 
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,8 +1,9 @@
 /*
- * Tests of traffic/: one traffic side in this process, callers and scripted
- * backend servers on loopback. What callers are told is compared with what
- * the servers ran: at most once for what may not be repeated, "not run" only
- * when that is so, each caller its own whole answer, and each wait bounded.
+ * Tests of request handling: the traffic thread's code, callers and scripted
+ * backend servers in one process, on loopback. What callers are told is
+ * compared with what the servers executed: non-idempotent requests at most
+ * once, "not executed" only if that is true, each caller its own complete
+ * response, and every wait bounded.
  */
 #include "tests/unit.h"
 
@@ -13,8 +14,8 @@
 #include "tests/bench.h"
 #include "traffic/request.h"
 
-/* A calm service: every request is answered with its own body. */
-static void test_calm(void **state)
+/* Healthy servers: every request gets its own body. */
+static void test_healthy_servers(void **state)
 {
 	struct bench *b = bench_new(3);
 
@@ -23,15 +24,15 @@
 
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 		assert_int_equal(bench_runs(b, c), 1);
 	}
-	/* Connections are kept: no more than a few each server. */
+	/* Connections are reused: at most a few per server. */
 	assert_true(b->servers[0].connections <= 4);
 	bench_free(b);
 }
 
-/* Refused by every server: "not run" is said, and is true. */
+/* Refused by all servers: the caller is told "not executed", truthfully. */
 static void test_refused(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -44,7 +45,7 @@
 	assert_int_equal(c->status, 503);
 	assert_int_equal(bench_runs(b, c), 0);
 	assert_true(c->retry_after > 0);
-	/* One of them has room: the caller never learns of the other. */
+	/* With capacity at one server the other's refusal isn't visible. */
 	bench_script(b, 1, SCRIPT_SERVE);
 	for (int i = 0; i < 5; i++) {
 		c = bench_call(b, "POST", 1000);
@@ -55,32 +56,32 @@
 	bench_free(b);
 }
 
-/* Full by its own report: nothing is sent, and the caller knows at once. */
-static void test_no_room(void **state)
+/* All servers report full: nothing is sent, and the caller is told quickly. */
+static void test_no_capacity(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct caller *c;
 	int64_t t0 = clock_ms();
 
-	b->servers[0].busy = 2;
-	b->servers[1].busy = 2;
+	b->servers[0].busy_slots = 2;
+	b->servers[1].busy_slots = 2;
 	c = bench_call(b, "GET", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 503);
 	assert_int_equal(bench_runs(b, c), 0);
-	/* An eighth of the target of 200 ms, and the questions' time. */
+	/* An eighth of the target of 200 ms, plus the time of the probes. */
 	assert_true(clock_ms() - t0 < 120);
 	bench_free(b);
 }
 
-/* A request that waits gets the room that an answer tells of. */
-static void test_room_appears(void **state)
+/* A queued request uses the capacity that a response reports. */
+static void test_capacity_appears(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *first, *second;
 
 	b->servers[0].work_ms = 15;
-	b->servers[0].busy = 1;
+	b->servers[0].busy_slots = 1;
 	first = bench_call(b, "GET", 1000);
 	bench_run_ms(b, 8);
 	second = bench_call(b, "GET", 1000);
@@ -91,7 +92,7 @@
 	bench_free(b);
 }
 
-/* No answer at all: the time limit of the route ends it, as "unknown". */
+/* No response: the route's timeout ends the request with an unknown outcome. */
 static void test_silent_server(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -104,7 +105,7 @@
 	assert_int_equal(c->status, 504);
 	assert_in_range(clock_ms() - t0, BENCH_TIMEOUT_MS - 20,
 			BENCH_TIMEOUT_MS + 150);
-	/* The caller's own limit counts when it is shorter. */
+	/* The caller's own time limit applies if it is shorter. */
 	t0 = clock_ms();
 	c = bench_call(b, "POST", 200);
 	bench_run_until(b, c);
@@ -113,8 +114,8 @@
 	bench_free(b);
 }
 
-/* With questions switched off requests still find servers. */
-static void test_no_questions(void **state)
+/* With probes disabled requests still find servers. */
+static void test_no_probes(void **state)
 {
 	struct bench *b;
 
@@ -126,12 +127,12 @@
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
 	}
-	assert_int_equal(b->traffic.counters.asks, 0);
+	assert_int_equal(b->traffic.counters.probes, 0);
 	mechanisms.ask = true;
 	bench_free(b);
 }
 
-/* Another start answers at the address: it gets nothing, and is forgotten. */
+/* Another process uses the address: it gets nothing, the entry is removed. */
 static void test_address_reused(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -148,8 +149,8 @@
 	bench_free(b);
 }
 
-/* A leaving server gets no new work, a dead one costs a moment. */
-static void test_leaving_and_dead(void **state)
+/* A draining server gets no new requests; a dead one adds little latency. */
+static void test_draining_and_dead(void **state)
 {
 	struct bench *b = bench_new(3);
 	struct caller *c;
@@ -168,7 +169,7 @@
 	bench_free(b);
 }
 
-/* The caller leaves: repeatable work is dropped at the server. */
+/* The caller disconnects: an idempotent request is cancelled at the server. */
 static void test_caller_leaves(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -178,14 +179,14 @@
 	c = bench_call(b, "GET", 1000);
 	bench_run_ms(b, 50);
 	assert_int_equal(b->servers[0].running, 1);
-	caller_leave(c);
+	caller_disconnect(c);
 	bench_run_ms(b, 50);
 	assert_int_equal(b->servers[0].running, 0);
 	assert_int_equal(b->traffic.open_requests, 0);
-	/* What may not be repeated goes on to its end there. */
+	/* A non-idempotent one runs to its end there. */
 	c = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 50);
-	caller_leave(c);
+	caller_disconnect(c);
 	bench_run_ms(b, 50);
 	assert_int_equal(b->servers[0].running, 1);
 	bench_run_ms(b, 350);
@@ -194,45 +195,45 @@
 	bench_free(b);
 }
 
-static unsigned settled_status, settled_count;
+static unsigned completed_status, completed_count;
 
-static void on_settled(struct request *r, unsigned status, struct lstr body)
+static void on_completed(struct request *r, unsigned status, struct lstr body)
 {
-	settled_status = status;
-	settled_count++;
+	completed_status = status;
+	completed_count++;
 }
 
 /*
- * The caller leaves while its request still looks for a server: it did not
- * run, and whoever keeps account of it (keys of protected calls) hears so.
+ * The caller disconnects during the server selection: the request didn't
+ * execute, and `completed` is called, on which the idempotency keys depend.
  */
-static void test_leaves_while_placing(void **state)
+static void test_caller_leaves_during_selection(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller_protocol counting;
 	struct request *r;
 	struct caller *c;
 
-	b->servers[0].busy = 2;
+	b->servers[0].busy_slots = 2;
 	c = bench_call(b, "POST", 1000);
 	for (int i = 0; i < 20 && b->traffic.open_requests == 0; i++)
 		bench_run_ms(b, 1);
-	r = http_conn_user(b->traffic.front.conns);
+	r = http_conn_user(b->traffic.caller_server.conns);
 	assert_non_null(r);
 	counting = *r->protocol;
-	counting.settled = on_settled;
+	counting.completed = on_completed;
 	r->protocol = &counting;
-	settled_count = 0;
-	caller_leave(c);
+	completed_count = 0;
+	caller_disconnect(c);
 	bench_run_ms(b, 10);
-	assert_int_equal(settled_count, 1);
-	assert_int_equal(settled_status, 503);
+	assert_int_equal(completed_count, 1);
+	assert_int_equal(completed_status, 503);
 	assert_int_equal(b->traffic.open_requests, 0);
 	bench_free(b);
 }
 
-/* Nobody waits any more: a refused request isn't taken to another server. */
-static void test_left_is_not_sent_again(void **state)
+/* After the caller has left, a refused request isn't sent to another server. */
+static void test_no_retry_after_caller_left(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct caller *c;
@@ -244,14 +245,14 @@
 	c = bench_call(b, "POST", 1000);
 	bench_run_ms(b, 30);
 	assert_int_equal(b->servers[0].received + b->servers[1].received, 1);
-	caller_leave(c);
+	caller_disconnect(c);
 	bench_run_ms(b, 150);
 	assert_int_equal(b->servers[0].received + b->servers[1].received, 1);
 	assert_int_equal(b->traffic.open_requests, 0);
 	bench_free(b);
 }
 
-/* Before any configuration 503, afterwards 404 for what isn't there. */
+/* 503 before any configuration is known, then 404 for unknown routes. */
 static void test_no_route(void **state)
 {
 	struct bench *b = bench_new(1);
@@ -259,12 +260,12 @@
 
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 404);
-	/* Without news for long nobody can be sure. */
+	/* With stale backend lists a missing route isn't certain. */
 	b->view.fresh_ms -= 60000;
 	c = bench_call_path(b, "GET", "/none/", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 503);
-	/* Nor without anybody who confirms the configuration. */
+	/* Nor with an unconfirmed configuration. */
 	b->view.fresh_ms += 60000;
 	b->view.config_ms -= 60000;
 	c = bench_call_path(b, "GET", "/none/", 1000);
@@ -278,12 +279,12 @@
 	bench_free(b);
 }
 
-/* One ill server doesn't make the service count as one without reports. */
-static void test_ill_server(void **state)
+/* One unhealthy server doesn't mark the service as not reporting load. */
+static void test_unhealthy_server(void **state)
 {
 	struct bench *b = bench_new(2);
 
-	b->servers[0].ill = true;
+	b->servers[0].unhealthy = true;
 	for (int i = 0; i < 10; i++) {
 		struct caller *c = bench_call(b, i % 2 ? "GET" : "POST", 1000);
 
@@ -298,13 +299,13 @@
 	bench_free(b);
 }
 
-/* A service whose servers don't tell their load is served as well. */
-static void test_load_not_told(void **state)
+/* Services whose servers report no load are served as well. */
+static void test_load_not_reported(void **state)
 {
 	struct bench *b = bench_new(3);
 
 	for (int i = 0; i < 3; i++)
-		b->servers[i].tells_load = false;
+		b->servers[i].reports_load = false;
 	for (int i = 0; i < 20; i++) {
 		struct caller *c = bench_call(b, i % 2 ? "GET" : "POST", 1000);
 
@@ -312,7 +313,7 @@
 		assert_int_equal(c->status, 200);
 		assert_int_equal(bench_runs(b, c), 1);
 	}
-	/* Nothing is made up in the place of a report. */
+	/* No load is assumed in place of a report. */
 	GHashTableIter it;
 	gpointer v;
 
@@ -322,14 +323,14 @@
 	bench_free(b);
 }
 
-/* Servers without reports are full when the peers fill them. */
+/* Servers without load reports are full when peers' requests fill them. */
 static void test_filled_by_peers(void **state)
 {
 	struct bench *b = bench_new(2);
 	struct peer_load l = {.peer = 9, .n = 1};
 	struct caller *c;
 
-	b->servers[0].tells_load = b->servers[1].tells_load = false;
+	b->servers[0].reports_load = b->servers[1].reports_load = false;
 	c = bench_call(b, "GET", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 200);
@@ -355,12 +356,13 @@
 }
 
 /*
- * Eight requests are refused in the same few milliseconds, and each may go to
- * one more server if the budget allows. Each asked the budget before it looked
- * for a server and spent from it when it had found one, some milliseconds later:
- * so all eight asked before the first had spent, and all were sent again.
+ * Guards against overspending the retry budget: eight requests are refused
+ * within a few milliseconds, each may be sent to one more server. The budget
+ * was checked before the server selection but charged some milliseconds later,
+ * so all eight passed the check before the first was charged, and all were sent
+ * again.
  */
-static void test_refused_together(void **state)
+static void test_budget_with_concurrent_refusals(void **state)
 {
 	enum { REQUESTS = 8 };
 
@@ -382,40 +384,39 @@
 	bench_free(b);
 }
 
-static void tell_instances(struct bench *b, unsigned n)
+static void send_peer_view(struct bench *b, unsigned n)
 {
 	struct peer_view *v = g_new0(struct peer_view, 1);
 
 	v->instances = n;
-	assert_int_equal(mailbox_send(&b->traffic.in, TO_TRAFFIC_PEERS, v), 0);
+	assert_int_equal(mailbox_send(&b->traffic.inbox, TO_TRAFFIC_PEERS, v),
+			 0);
 	bench_run_ms(b, 5);
 }
 
 /*
- * An instance that is cut off from the others hears fewer, and they still live:
- * its part of what all share doesn't grow. With six times the usual callers and
- * 12 of 16 instances cut off servers got 69.7 questions a second, 60 are allowed.
+ * A partitioned instance sees fewer peers although they are still running: its
+ * part of shared limits must not grow. With six times the usual callers and 12
+ * of 16 instances partitioned, servers got 69.7 probes a second where 60 are
+ * allowed.
  */
-static void test_cut_off_keeps_count(void **state)
+static void test_partition_keeps_instance_count(void **state)
 {
 	struct bench *b = bench_new(1);
 
-	tell_instances(b, 16);
+	send_peer_view(b, 16);
 	assert_int_equal(b->traffic.probe_rate.instances, 16);
-	tell_instances(b, 1);
+	send_peer_view(b, 1);
 	assert_int_equal(b->traffic.probe_rate.instances, 16);
 	assert_int_equal(b->traffic.budget_params.instances, 16);
-	tell_instances(b, 20);
+	send_peer_view(b, 20);
 	assert_int_equal(b->traffic.probe_rate.instances, 20);
 	assert_int_equal(b->traffic.budget_params.instances, 20);
 	bench_free(b);
 }
 
-/*
- * Seeded days of misbehaving servers: whatever they do, the promises to the
- * callers hold.
- */
-static void run_day(guint32 seed)
+/* Whatever randomly misbehaving servers do, the guarantees to callers hold. */
+static void run_random_faults(guint32 seed)
 {
 	GRand *rand = g_rand_new_with_seed(seed);
 	struct bench *b = bench_new(4);
@@ -423,38 +424,40 @@
 
 	b->traffic.budget_params.ratio = 1000;
 	for (int i = 0; i < 120; i++) {
-		bool post = g_rand_boolean(rand);
+		bool is_post = g_rand_boolean(rand);
 
 		bench_script(
 			b, g_rand_int_range(rand, 0, 4),
 			(enum script)g_rand_int_range(rand, 0, SCRIPT_COUNT));
 		bench_script(b, g_rand_int_range(rand, 0, 4), SCRIPT_SERVE);
-		calls[i] = bench_call(b, post ? "POST" : "GET", 400);
+		calls[i] = bench_call(b, is_post ? "POST" : "GET", 400);
 		bench_run_ms(b, g_rand_int_range(rand, 0, 12));
 		if (g_rand_int_range(rand, 0, 15) == 0 && calls[i]->open)
-			caller_leave(calls[i]);
+			caller_disconnect(calls[i]);
 	}
 	bench_run_ms(b, 700);
 	for (int i = 0; i < 120; i++) {
 		struct caller *c = calls[i];
 		unsigned runs = bench_runs(b, c);
-		bool post = !strcmp(c->method, "POST");
-
-		if (post && runs > 1)
-			fail_msg("seed %u: %s ran %u times", seed, c->id, runs);
-		if (post && c->status == 503 && runs)
-			fail_msg("seed %u: %s refused, but ran", seed, c->id);
-		if (c->status == 200 && !caller_has_own_body(c))
-			fail_msg("seed %u: %s got a foreign body", seed, c->id);
-		if (!c->left && !c->status)
-			fail_msg("seed %u: %s got no answer", seed, c->id);
+		bool is_post = !strcmp(c->method, "POST");
+
+		if (is_post && runs > 1)
+			fail_msg("seed %u: %s executed %u times", seed, c->id,
+				 runs);
+		if (is_post && c->status == 503 && runs)
+			fail_msg("seed %u: %s refused, but executed", seed,
+				 c->id);
+		if (c->status == 200 && !caller_got_own_body(c))
+			fail_msg("seed %u: %s got another's body", seed, c->id);
+		if (!c->disconnected && !c->status)
+			fail_msg("seed %u: %s got no response", seed, c->id);
 	}
 	assert_int_equal(b->traffic.open_requests, 0);
 	bench_free(b);
 	g_rand_free(rand);
 }
 
-static void test_days(void **state)
+static void test_random_faults(void **state)
 {
 	const char *env = g_getenv("MP_SEED");
 	guint32 seed =
@@ -462,30 +465,30 @@
 
 	print_message("seed %u\n", seed);
 	for (guint32 i = 0; i < 6; i++)
-		run_day(seed + i);
+		run_random_faults(seed + i);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_calm),
+		cmocka_unit_test(test_healthy_servers),
 		cmocka_unit_test(test_refused),
-		cmocka_unit_test(test_no_room),
-		cmocka_unit_test(test_room_appears),
+		cmocka_unit_test(test_no_capacity),
+		cmocka_unit_test(test_capacity_appears),
 		cmocka_unit_test(test_silent_server),
-		cmocka_unit_test(test_no_questions),
+		cmocka_unit_test(test_no_probes),
 		cmocka_unit_test(test_address_reused),
-		cmocka_unit_test(test_leaving_and_dead),
+		cmocka_unit_test(test_draining_and_dead),
 		cmocka_unit_test(test_caller_leaves),
-		cmocka_unit_test(test_leaves_while_placing),
-		cmocka_unit_test(test_left_is_not_sent_again),
+		cmocka_unit_test(test_caller_leaves_during_selection),
+		cmocka_unit_test(test_no_retry_after_caller_left),
 		cmocka_unit_test(test_no_route),
-		cmocka_unit_test(test_ill_server),
-		cmocka_unit_test(test_load_not_told),
+		cmocka_unit_test(test_unhealthy_server),
+		cmocka_unit_test(test_load_not_reported),
 		cmocka_unit_test(test_filled_by_peers),
-		cmocka_unit_test(test_refused_together),
-		cmocka_unit_test(test_cut_off_keeps_count),
-		cmocka_unit_test(test_days),
+		cmocka_unit_test(test_budget_with_concurrent_refusals),
+		cmocka_unit_test(test_partition_keeps_instance_count),
+		cmocka_unit_test(test_random_faults),
 	};
 
 	mp_log_init("test");
--- a/tests/test_request_send.c
+++ b/tests/test_request_send.c
@@ -1,6 +1,6 @@
 /*
- * Tests of traffic/request_send: what becomes of a request at a server that
- * loses its answer, never answers, answers twice or starts again.
+ * Tests of traffic/request_send: requests at servers that lose the response,
+ * never respond, respond twice or restart.
  */
 #include "tests/unit.h"
 
@@ -10,8 +10,11 @@
 #include "tests/bench.h"
 #include "traffic/request.h"
 
-/* A server that runs the request and breaks off: repeat only if allowed. */
-static void test_answer_lost(void **state)
+/*
+ * A server that executes the request and breaks the connection: the request is
+ * sent again only if it is idempotent.
+ */
+static void test_lost_response(void **state)
 {
 	static const enum script scripts[] = {SCRIPT_RUN_RESET, SCRIPT_RUN_CUT,
 					      SCRIPT_RUN_GARBAGE};
@@ -26,7 +29,7 @@
 		bench_run_until(b, post);
 		assert_int_equal(post->status, 502);
 		assert_int_equal(bench_runs(b, post), 1);
-		/* The route allows two servers. */
+		/* The route allows two attempts. */
 		get = bench_call(b, "GET", 1000);
 		bench_run_until(b, get);
 		assert_int_equal(get->status, 502);
@@ -35,12 +38,12 @@
 		get = bench_call(b, "GET", 1000);
 		bench_run_until(b, get);
 		assert_int_equal(get->status, 200);
-		assert_true(caller_has_own_body(get));
+		assert_true(caller_got_own_body(get));
 		bench_free(b);
 	}
 }
 
-/* What may be repeated goes to a second server in time to be on time. */
+/* An idempotent request is hedged early enough to be on time. */
 static void test_hedge(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -53,14 +56,14 @@
 
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 		on_time += clock_ms() - t0 < 200;
 	}
 	assert_true(on_time >= 7);
 	bench_free(b);
 }
 
-/* Too late to be on time, but not to be answered at all. */
+/* A rescue is sent too late to be on time, but gets a response. */
 static void test_rescue(void **state)
 {
 	struct bench *b = bench_new(2);
@@ -70,14 +73,14 @@
 		struct caller *c;
 
 		/* The class usually takes three quarters of its target. */
-		traffic_class(&b->traffic, "harta", BENCH_TARGET_MS)
+		traffic_class_stats(&b->traffic, "harta", BENCH_TARGET_MS)
 			->work.usual_ms = 150;
 		c = bench_call(b, "GET", 1000);
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 	}
-	/* What may not be repeated is not. */
+	/* Non-idempotent requests are not rescued. */
 	b->servers[1].dead = true;
 	bench_drain(b, 1);
 	struct caller *c = bench_call(b, "POST", 1000);
@@ -90,22 +93,23 @@
 }
 
 /*
- * A server that started again under its id has lost what it had: the request
- * goes to another at once where it may, and its outcome is told where not.
+ * A server that restarted under its id has lost its requests: idempotent ones
+ * are sent to another server at once, the callers of others are told the
+ * outcome is unknown.
  */
-static void test_started_again(void **state)
+static void test_restarted_server(void **state)
 {
 	for (int i = 0; i < 2; i++) {
 		struct bench *b = bench_new(2);
 		int64_t begin;
 		struct caller *c;
 
-		b->servers[1].busy = 2;
+		b->servers[1].busy_slots = 2;
 		bench_script(b, 0, SCRIPT_HANG);
 		c = bench_call(b, i ? "POST" : "GET", 1000);
 		bench_run_ms(b, 40);
 		assert_int_equal(bench_runs(b, c), 1);
-		b->servers[1].busy = 0;
+		b->servers[1].busy_slots = 0;
 		begin = clock_ms();
 		bench_restart(b, 0, 5000);
 		bench_run_until(b, c);
@@ -116,8 +120,8 @@
 	}
 }
 
-/* A second answer to an earlier request is never passed on. */
-static void test_extra_answers(void **state)
+/* A duplicate response to an earlier request is never forwarded. */
+static void test_duplicate_responses(void **state)
 {
 	struct bench *b = bench_new(1);
 
@@ -127,23 +131,23 @@
 
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 	}
-	/* And one that comes a while after the first, on an idle connection. */
+	/* Nor one that arrives later, on an idle connection. */
 	bench_script(b, 0, SCRIPT_TWICE_LATE);
 	for (int i = 0; i < 10; i++) {
 		struct caller *c = bench_call(b, "POST", 1000);
 
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_true(caller_has_own_body(c));
+		assert_true(caller_got_own_body(c));
 		bench_run_ms(b, i * 3);
 	}
 	bench_free(b);
 }
 
-/* A success without the server's receipt is no success. */
-static void test_unsealed(void **state)
+/* A 2xx without the server's receipt isn't forwarded. */
+static void test_missing_receipt(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *c;
@@ -162,7 +166,7 @@
 	struct caller *c;
 
 	other->version = b->traffic.config->version;
-	mailbox_send(&b->traffic.in, TO_TRAFFIC_CONFIG, other);
+	mailbox_send(&b->traffic.inbox, TO_TRAFFIC_CONFIG, other);
 	bench_run_ms(b, 5);
 	c = bench_call(b, "GET", 1000);
 	bench_run_until(b, c);
@@ -174,12 +178,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_same_version_with_other_content),
-		cmocka_unit_test(test_answer_lost),
+		cmocka_unit_test(test_lost_response),
 		cmocka_unit_test(test_hedge),
 		cmocka_unit_test(test_rescue),
-		cmocka_unit_test(test_started_again),
-		cmocka_unit_test(test_extra_answers),
-		cmocka_unit_test(test_unsealed),
+		cmocka_unit_test(test_restarted_server),
+		cmocka_unit_test(test_duplicate_responses),
+		cmocka_unit_test(test_missing_receipt),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -1,6 +1,6 @@
 /*
- * Tests of traffic/upstream: what connections bring that nobody waits for any more,
- * and requests that are withdrawn before they leave.
+ * Tests of traffic/upstream: feedback in responses that nobody waits for, and
+ * requests cancelled before their first byte.
  */
 #include "tests/unit.h"
 
@@ -8,7 +8,7 @@
 
 #include "traffic/upstream.h"
 
-#define TURNED_AWAY                                          \
+#define REFUSAL                                              \
 	"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nRetry-After: " \
 	"9\r\nServer-Leaving: 1\r\n"                         \
 	"Content-Length: 0\r\n\r\n"
@@ -18,12 +18,12 @@
 	return g_hash_table_lookup(b->traffic.backends.by_id, b->servers[i].id);
 }
 
-static void assert_heard(struct bench *b, bool heard)
+static void assert_feedback_applied(struct bench *b, bool applied)
 {
-	const struct server_state *m = backend_of(b, 0)->state;
+	const struct server_state *s = backend_of(b, 0)->state;
 
-	assert_int_equal(m->backoff_until_ms > clock_ms() + 8000, heard);
-	assert_int_equal(m->draining, heard);
+	assert_int_equal(s->backoff_until_ms > clock_ms() + 8000, applied);
+	assert_int_equal(s->draining, applied);
 }
 
 static enum http_verdict take(void *owner, const struct answer_info *info)
@@ -44,7 +44,7 @@
 
 static const struct upstream_ops ops = {take, response, failed};
 
-/* Sends server 0 a request on a new connection. */
+/* Sends a request to server 0 on a new connection. */
 static struct upstream *send_one(struct bench *b, int *err)
 {
 	struct upstream *u =
@@ -58,27 +58,27 @@
 	return u;
 }
 
-static void test_answer_after_giving_up(void **state)
+static void test_feedback_after_drop(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct upstream *u;
 	int err = 0;
 
 	b->servers[0].script = SCRIPT_REFUSE;
-	b->servers[0].says = "Retry-After: 9\r\nServer-Leaving: 1\r\n";
+	b->servers[0].extra_headers = "Retry-After: 9\r\nServer-Leaving: 1\r\n";
 	u = send_one(b, &err);
 	while (!b->servers[0].received)
 		ev_run(b->loop, EVRUN_ONCE);
-	assert_heard(b, false);
+	assert_feedback_applied(b, false);
 	upstream_drop(u);
 	bench_run_ms(b, 20);
-	assert_heard(b, true);
+	assert_feedback_applied(b, true);
 	assert_int_equal(err, 0);
 	bench_free(b);
 }
 
-/* The server sees a request that is given up as such, and drops it. */
-static void test_giving_up_ends_the_work(void **state)
+/* The server notices that the request was given up, and cancels it. */
+static void test_drop_cancels_work(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct upstream *u;
@@ -95,24 +95,24 @@
 	bench_free(b);
 }
 
-static void test_answer_behind_another(void **state)
+static void test_feedback_of_trailing_response(void **state)
 {
 	for (int late = 0; late < 2; late++) {
 		struct bench *b = bench_new(1);
 		struct caller *c;
 
-		b->servers[0].tail = TURNED_AWAY;
+		b->servers[0].tail = REFUSAL;
 		b->servers[0].tail_ms = 10 * late;
 		c = bench_call(b, "POST", 1000);
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
 		bench_run_ms(b, 30);
-		assert_heard(b, true);
+		assert_feedback_applied(b, true);
 		bench_free(b);
 	}
 }
 
-static void test_answer_of_another_start(void **state)
+static void test_response_of_another_start(void **state)
 {
 	struct bench *b = bench_new(1);
 	struct caller *c;
@@ -125,7 +125,7 @@
 	c = bench_call(b, "POST", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 200);
-	assert_heard(b, false);
+	assert_feedback_applied(b, false);
 	bench_free(b);
 }
 
@@ -142,7 +142,7 @@
 	bench_run_ms(b, 20);
 	assert_int_equal(err, -ECANCELED);
 	assert_int_equal(b->servers[0].received, 0);
-	/* On a connection that stands it is the same. */
+	/* The same on an established connection. */
 	err = 0;
 	bench_run_ms(b, 60);
 	u = send_one(b, &err);
@@ -159,16 +159,16 @@
 	bench_free(b);
 }
 
-/* A request whose server took nothing any more goes on as if never sent. */
+/* A request withdrawn before it was sent continues as if never sent. */
 static void test_withdrawn_request_goes_elsewhere(void **state)
 {
 	for (int idempotent = 0; idempotent < 2; idempotent++) {
 		struct bench *b = bench_new(2);
 		struct service *s = backend_of(b, 0)->service;
 		struct caller *c;
-		int to;
+		int first;
 
-		b->servers[0].tells_load = b->servers[1].tells_load = false;
+		b->servers[0].reports_load = b->servers[1].reports_load = false;
 		s->load_support = LOAD_NOT_TOLD;
 		b->traffic.budget_params.ratio =
 			b->traffic.budget_params.slack = 0;
@@ -176,15 +176,15 @@
 		while (!backend_of(b, 0)->in_flight &&
 		       !backend_of(b, 1)->in_flight)
 			ev_run(b->loop, EVRUN_ONCE);
-		to = backend_of(b, 1)->in_flight ? 1 : 0;
-		assert_int_equal(b->servers[to].received, 0);
-		server_state_back_off(backend_of(b, to)->state, 5, 0,
+		first = backend_of(b, 1)->in_flight ? 1 : 0;
+		assert_int_equal(b->servers[first].received, 0);
+		server_state_back_off(backend_of(b, first)->state, 5, 0,
 				      clock_ms());
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
-		assert_int_equal(b->servers[to].received, 0);
+		assert_int_equal(b->servers[first].received, 0);
 		assert_int_equal(b->traffic.counters.withdrawn, 1);
-		assert_int_equal(backend_of(b, to)->in_flight, 0);
+		assert_int_equal(backend_of(b, first)->in_flight, 0);
 		assert_int_equal(budget_spent(&s->account), 0);
 		assert_int_equal(s->budget.in_flight, 0);
 		bench_free(b);
@@ -194,10 +194,10 @@
 int main(int argc, char **argv)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_answer_after_giving_up),
-		cmocka_unit_test(test_giving_up_ends_the_work),
-		cmocka_unit_test(test_answer_behind_another),
-		cmocka_unit_test(test_answer_of_another_start),
+		cmocka_unit_test(test_feedback_after_drop),
+		cmocka_unit_test(test_drop_cancels_work),
+		cmocka_unit_test(test_feedback_of_trailing_response),
+		cmocka_unit_test(test_response_of_another_start),
 		cmocka_unit_test(test_withdrawn_while_connecting),
 		cmocka_unit_test(test_withdrawn_request_goes_elsewhere),
 	};
--- a/tools/load.c
+++ b/tools/load.c
@@ -32,7 +32,7 @@
 }
 
 /* Sorts an answer by what it says of the call. */
-static void count_answer(struct call *c, const struct http_message *m)
+static void count_response(struct call *c, const struct http_message *m)
 {
 	struct service_load *s = c->service;
 	struct lstr id = http_find(m, LSTR("X-Request-Id"));
@@ -71,7 +71,7 @@
 {
 	struct call *c = priv;
 
-	count_answer(c, m);
+	count_response(c, m);
 	http_message_free(m);
 	http_client_close(&c->http);
 	end_call(c);
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -50,7 +50,7 @@
 
 	*notice = (struct crash_notice){kind, digest, detail};
 	/* If the queue is full it is lost, as a datagram may be. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_CRASH, notice))
+	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_CRASH, notice))
 		g_free(notice);
 }
 
@@ -203,8 +203,9 @@
  */
 static bool take_probe_budget(struct traffic *t)
 {
-	return probe_budget_take(&t->asks, &t->probe_rate, traffic_servers(t),
-				 1, 1, clock_ms()) == 1;
+	return probe_budget_take(&t->probe_limiter, &t->probe_rate,
+				 traffic_count_backends(t), 1, 1,
+				 clock_ms()) == 1;
 }
 
 static void on_retry(struct ev_loop *loop, ev_timer *timer, int revents)
--- a/traffic/drain_gossip.c
+++ b/traffic/drain_gossip.c
@@ -67,7 +67,7 @@
 		return more;
 	copy = g_memdup2(&news, sizeof(news));
 	/* If the queue is full it is lost, as a datagram may be. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_DRAIN, copy))
+	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_DRAIN, copy))
 		g_free(copy);
 	return more;
 }
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -92,7 +92,7 @@
 	struct limit_borrow_msg *copy = g_memdup2(call, sizeof(*call));
 
 	/* If the queue is full it is lost, as a datagram may be. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_LIMIT_CALL, copy))
+	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_LIMIT_CALL, copy))
 		g_free(copy);
 }
 
@@ -193,7 +193,7 @@
 		return;
 	t->counters.limits_granted++;
 	b->state->limit->granted_ms = limit_grant_expiry_ms(now_ms);
-	request_use_room(t, b);
+	request_offer_capacity(t, b);
 }
 
 /* Handles a peer's request for a send, or its grant. */
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -145,7 +145,7 @@
 	struct limit_gossip *copy = g_memdup2(news, sizeof(*news));
 
 	/* If the queue is full it is lost, as a datagram may be. */
-	if (mailbox_send(t->control, FROM_TRAFFIC_LIMITS, copy))
+	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_LIMITS, copy))
 		g_free(copy);
 }
 
--- /dev/null
+++ b/traffic/probe.c
@@ -0,0 +1,198 @@
+#include <errno.h>
+
+#include "common/event.h"
+#include "core/outlier.h"
+#include "misc/clock.h"
+#include "traffic/probe.h"
+
+/* Servers that report load answer a probe immediately, within a round trip. */
+static const double PROBE_TIMEOUT_S = 0.06;
+
+/* A missing probe response counts as one full failure of the server. */
+static const double PROBE_FAILURE_WEIGHT = 1.0;
+
+static void probe_free(struct probe *p)
+{
+	backend_unref(p->backend);
+	g_free(p);
+}
+
+/* Closes the connection of a failed probe. */
+static void probe_close(struct probe *p)
+{
+	if (p->upstream)
+		upstream_drop(p->upstream);
+	p->upstream = NULL;
+	p->pending = false;
+}
+
+/* Frees a finished probe; a pending one is detached and frees itself later. */
+static void probe_detach(struct probe *p)
+{
+	p->request = NULL;
+	if (p->pending)
+		return;
+	if (p->upstream)
+		upstream_put(p->upstream, clock_ms());
+	probe_free(p);
+}
+
+/* Releases all probes of the request's current selection. */
+void probes_release(struct request *r)
+{
+	for (unsigned i = 0; i < r->nprobes; i++)
+		probe_detach(r->probes[i]);
+	r->nprobes = 0;
+}
+
+static enum http_verdict probe_judge(void *owner,
+				     const struct answer_info *info)
+{
+	struct probe *p = owner;
+
+	/* Only a response that names its server answers a probe. */
+	if (info->id.ptr || !info->backend.ptr) {
+		p->traffic->counters.foreign_answers++;
+		return HTTP_SKIP;
+	}
+	return HTTP_TAKE;
+}
+
+/* Logs the first failed probe of b, and the first success after failures. */
+static void record_reachability(struct backend *b, int err, int64_t now_ms)
+{
+	if (b->down == (err != 0))
+		return;
+	b->down = err != 0;
+	if (err)
+		mp_event(EV_BACKEND_DOWN, G_LOG_LEVEL_MESSAGE,
+			 "backend=%s service=%s err=%s "
+			 "report_age_ms=%" G_GINT64_FORMAT " in_flight=%u",
+			 b->entry.id, b->service->name, g_strerror(-err),
+			 b->load.at_ms ? now_ms - b->load.at_ms : -1,
+			 b->in_flight);
+	else
+		mp_event(EV_BACKEND_UP, G_LOG_LEVEL_MESSAGE,
+			 "backend=%s service=%s", b->entry.id,
+			 b->service->name);
+}
+
+/* Removes a server whose address is now used by another process. */
+static void remove_replaced_backend(struct traffic *t, struct backend *b)
+{
+	mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE,
+		 "backend=%s why=another answers at its address", b->entry.id);
+	backend_set_remove(&t->backends, b->entry.id);
+}
+
+/*
+ * Stores the reported load; returns false if the response has none. The first
+ * response without load marks the service as not reporting, but only if it
+ * comes from a healthy server: a failing or draining one may omit its load.
+ */
+static bool record_load_report(struct probe *p, const struct answer_info *info,
+			       unsigned status, int64_t now_ms)
+{
+	struct service *s = p->backend->service;
+
+	if (info->has_load) {
+		s->load_support = LOAD_TOLD;
+		p->backend->load = info->load;
+		p->backend->load.at_ms = now_ms;
+		place_note_offer(p->backend, now_ms);
+		return true;
+	}
+	if (status == 200 && s->load_support == LOAD_UNKNOWN)
+		s->load_support = LOAD_NOT_TOLD;
+	return false;
+}
+
+/* Continues the selection that waits for the probe, or frees a detached one. */
+static void probe_done(struct probe *p, int64_t now_ms)
+{
+	if (p->request) {
+		p->request->probes_answered += p->answered;
+		request_select_step(p->request, now_ms);
+		return;
+	}
+	probe_detach(p);
+}
+
+/*
+ * Handles a probe response: stores the reported load, or removes a server that
+ * another process has replaced.
+ */
+static void probe_response(void *owner, struct http_message *m,
+			   const struct answer_info *info)
+{
+	struct probe *p = owner;
+	int64_t now_ms = clock_ms();
+
+	p->pending = false;
+	if (!lstr_eq(info->backend, lstr0(p->backend->entry.id))) {
+		probe_close(p);
+		remove_replaced_backend(p->traffic, p->backend);
+	} else {
+		record_reachability(p->backend, 0, now_ms);
+		if (!p->new_connection)
+			place_note_way(p->backend,
+				       (double)(now_ms - p->sent_ms));
+		p->answered = record_load_report(p, info, m->status, now_ms) &&
+			      p->upstream->http.reusable;
+		if (!p->answered)
+			probe_close(p);
+	}
+	http_message_free(m);
+	probe_done(p, now_ms);
+}
+
+static void probe_failed(void *owner, int err, bool sent)
+{
+	struct probe *p = owner;
+	int64_t now_ms = clock_ms();
+
+	p->upstream = NULL;
+	p->pending = false;
+	p->traffic->counters.probe_failures += err != -ECANCELED;
+	/*
+	 * A kept connection may be closed at any time, and a probe may be
+	 * cancelled before it is sent: neither is a failure of the server.
+	 */
+	if (err != -EPIPE && err != -ECONNRESET && err != -ECANCELED) {
+		record_reachability(p->backend, err, now_ms);
+		outlier_note(p->backend, PROBE_FAILURE_WEIGHT, now_ms);
+	}
+	probe_done(p, now_ms);
+}
+
+static const struct upstream_ops probe_ops = {probe_judge, probe_response,
+					      probe_failed};
+
+/* Probes b for its load on behalf of a request. */
+void probe_start(struct request *r, struct backend *b)
+{
+	const struct service_config *sc =
+		config_service(r->config, lstr0(r->service->name));
+	struct upstream *u = upstream_get(r->traffic, b, 0);
+	struct buf bytes = {0};
+	struct probe *p;
+
+	if (!u)
+		return;
+	p = g_new0(struct probe, 1);
+	p->request = r;
+	p->traffic = r->traffic;
+	p->upstream = u;
+	p->sent_ms = clock_ms();
+	p->new_connection = u->last_used_ms == 0;
+	r->probes[r->nprobes++] = p;
+	p->backend = backend_ref(b);
+	p->pending = true;
+	r->traffic->counters.probes++;
+	r->probes_sent++;
+	exchange_write_probe(&bytes, sc ? sc->health_path : LSTR("/"), b,
+			     r->traffic->via);
+	upstream_probe(p->upstream, buf_lstr(&bytes), PROBE_TIMEOUT_S,
+		       &probe_ops, p);
+	buf_free(&bytes);
+}
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -6,17 +6,17 @@
 #include "core/outlier.h"
 #include "misc/clock.h"
 #include "traffic/crash_check.h"
+#include "traffic/inflight_report.h"
 #include "traffic/limit_sends.h"
 #include "traffic/request.h"
-#include "traffic/share.h"
 
-/* Weights of outcomes in the failure memory of a server. */
-static const double TROUBLE_BROKEN = 1.0;  /* reset, cut or no message */
-static const double TROUBLE_FAILED = 1.0;  /* its own 5xx */
-static const double TROUBLE_TIMEOUT = 1.0; /* no answer in time */
-static const double RELIEF_SERVED = -0.7;
+/* Weights of outcomes in a server's failure score. */
+static const double FAILURE_BROKEN = 1.0; /* reset, truncated or invalid */
+static const double FAILURE_SERVER_ERROR = 1.0; /* the server's own 5xx */
+static const double FAILURE_TIMEOUT = 1.0;	/* no response in time */
+static const double SUCCESS_RELIEF = -0.7;
 
-/* Ends one send; its connection is already given away or closed. */
+/* Ends a send; its connection has been returned or closed already. */
 static void end_send(struct send *s)
 {
 	struct traffic *t = s->request->traffic;
@@ -27,12 +27,12 @@
 				 &t->budget_params, clock_boot_ms());
 	limit_sends_finish(s, clock_ms());
 	s->backend->in_flight--;
-	share_changed(t, s->backend->service);
+	inflight_report_changed(t, s->backend->service);
 }
 
 /*
- * request_sends_end() breaks off what is still out: the request has its
- * answer, or nobody waits for it any more.
+ * Cancels all sends in flight: the request has its response, or nobody waits
+ * for one.
  */
 void request_sends_end(struct request *r)
 {
@@ -53,67 +53,73 @@
 	if (exchange_is_for(info, s->request->call.id))
 		return HTTP_TAKE;
 	s->request->traffic->counters.foreign_answers++;
-	request_log_foreign(s->request, s, info->id);
+	request_log_mismatched(s->request, s, info->id);
 	return HTTP_SKIP;
 }
 
-/* Learns from an answer how long work takes, and there. */
-static void learn(struct request *r, const struct send *s, int64_t now_ms)
+/* Updates the models of the work time and of the server's speed. */
+static void record_duration(struct request *r, const struct send *s,
+			    int64_t now_ms)
 {
-	learn_answer(&s->backend->service->model, &r->stats->work, &s->start,
+	learn_answer(&s->backend->service->model, &r->stats->work, &s->server,
 		     (double)(now_ms - s->sent_ms), now_ms);
 }
 
-/* Goes on after a send that brought no answer for the caller. */
-static void go_on(struct request *r, unsigned status, const char *why)
+/*
+ * Continues after a send without a usable response: retries, waits for another
+ * copy, or ends the request.
+ */
+static void after_failed_send(struct request *r, unsigned status,
+			      const char *why)
 {
-	if (request_is_out(r) || r->placement != PLACE_NONE) {
-		request_arm(r);
+	if (request_is_in_flight(r) || r->select_reason != SELECT_NONE) {
+		request_arm_timer(r);
 		return;
 	}
-	if (request_is_barred(r)) {
-		request_bar(r);
+	if (request_is_quarantined(r)) {
+		request_reject_quarantined(r);
 		return;
 	}
-	/* Nobody waits for it any more: the outcome is all that is left. */
+	/* Without a caller only the outcome is left to record. */
 	if (r->conn && request_may_send_again(r)) {
 		request_log_retry(r, why);
-		request_place(r, PLACE_RETRY);
+		request_select(r, SELECT_RETRY);
 		return;
 	}
-	if (r->undenied)
+	if (r->maybe_executed)
 		request_fail(r, status, why);
 	else
 		request_refuse(r, why);
 }
 
-/* The server says that it has not run the request. */
-static void on_not_run(struct request *r, struct send *s, unsigned status)
+/* Handles a response that says the server did not execute the request. */
+static void on_not_executed(struct request *r, struct send *s, unsigned status)
 {
-	r->undenied--;
+	r->maybe_executed--;
 	if (status == 421)
 		backend_set_remove(&r->traffic->backends, s->backend->entry.id);
-	go_on(r, 503, "server full");
+	after_failed_send(r, 503, "server full");
 }
 
-/* The server has run the request and failed. */
+/* Handles a 5xx: the server executed the request and failed. */
 static void on_server_error(struct request *r, struct send *s,
 			    struct http_message *m, int64_t now_ms)
 {
-	outlier_note(s->backend, TROUBLE_FAILED, now_ms);
+	outlier_note(s->backend, FAILURE_SERVER_ERROR, now_ms);
 	if (r->route->idempotent && request_may_send_again(r)) {
 		http_message_free(m);
-		go_on(r, 502, "server error");
+		after_failed_send(r, 502, "server error");
 		return;
 	}
-	if (request_is_out(r)) {
+	if (request_is_in_flight(r)) {
 		http_message_free(m);
-		request_arm(r);
+		request_arm_timer(r);
 		return;
 	}
-	request_answer(r, m);
+	request_forward_response(r, m);
 }
 
+/* Handles the awaited response: forwards it, or goes on if it isn't usable. */
 static void send_response(void *owner, struct http_message *m,
 			  const struct answer_info *info)
 {
@@ -122,7 +128,7 @@
 	int64_t now_ms = clock_ms();
 	struct upstream *u = s->upstream;
 
-	/* A server that sheds its load reports none: that is not room. */
+	/* A server that sheds load reports none; that isn't spare capacity. */
 	if (info->has_load && mechanisms.ask && info->backoff != BACKOFF_SET) {
 		s->backend->service->load_support = LOAD_TOLD;
 		s->backend->load = info->load;
@@ -131,35 +137,38 @@
 	end_send(s);
 	upstream_put(u, now_ms);
 	if (place_has_room(s->backend, now_ms))
-		request_use_room(r->traffic, s->backend);
+		request_offer_capacity(r->traffic, s->backend);
 	if (info->not_run) {
 		unsigned status = m->status;
 
 		http_message_free(m);
-		on_not_run(r, s, status);
+		on_not_executed(r, s, status);
 		return;
 	}
 	crash_check_answered(r->traffic, r->digest);
 	server_state_answered(s->backend->state, s->sent_ms);
 	if (m->status / 100 == 2 && !info->sealed) {
-		/* Not the server's own answer, whatever it looks like. */
+		/*
+		 * Without the receipt it wasn't written by the server, whatever
+		 * the status.
+		 */
 		http_message_free(m);
-		outlier_note(s->backend, TROUBLE_BROKEN, now_ms);
-		go_on(r, 502, "answer without receipt");
+		outlier_note(s->backend, FAILURE_BROKEN, now_ms);
+		after_failed_send(r, 502, "answer without receipt");
 	} else if (m->status >= 500) {
 		on_server_error(r, s, m, now_ms);
 	} else {
-		outlier_note(s->backend, RELIEF_SERVED, now_ms);
-		learn(r, s, now_ms);
-		request_answer(r, m);
+		outlier_note(s->backend, SUCCESS_RELIEF, now_ms);
+		record_duration(r, s, now_ms);
+		request_forward_response(r, m);
 	}
 }
 
 /*
- * The server became unavailable while its connection was opened. Nothing has left, so
- * the send is undone, without a charge to the retry budget.
+ * Undoes a send whose server became unavailable while connecting. Nothing has
+ * been sent, so the retry budget isn't charged.
  */
-static void withdraw(struct send *s, int64_t now_ms)
+static void cancel_unsent_send(struct send *s, int64_t now_ms)
 {
 	struct request *r = s->request;
 	bool last = s == &r->sends[r->nsends - 1];
@@ -171,53 +180,58 @@
 		budget_refund(&r->service->budget);
 	limit_sends_finish(s, now_ms);
 	s->backend->in_flight--;
-	share_changed(r->traffic, s->backend->service);
-	r->undenied--;
+	inflight_report_changed(r->traffic, s->backend->service);
+	r->maybe_executed--;
 	r->stats->sends--;
 	if (s->extra)
 		r->service->account.spent[s->cause]--;
 	if (last) {
 		backend_unref(s->backend);
 		r->nsends--;
-		r->hedge_ms = 0;
+		r->hedge_at_ms = 0;
 	}
 	if (r->nsends == 0 && r->conn) {
-		request_place_end(r);
-		request_place(r, PLACE_FIRST);
+		request_select_end(r);
+		request_select(r, SELECT_FIRST);
 		return;
 	}
-	go_on(r, 503, "server takes nothing now");
+	after_failed_send(r, 503, "server takes nothing now");
 }
 
+/*
+ * Handles a send without a response: its connection failed, it timed out, or it
+ * was cancelled before its first byte.
+ */
 static void send_failed(void *owner, int err, bool sent)
 {
 	struct send *s = owner;
 	struct request *r = s->request;
 
 	if (err == -ECANCELED) {
-		withdraw(s, clock_ms());
+		cancel_unsent_send(s, clock_ms());
 		return;
 	}
 	if (sent && err != -ETIMEDOUT) {
 		r->stats->broken++;
 		request_log_broken(r, s, err);
-		/* Bytes that are no answer come from one that lives. */
+		/* Invalid bytes come from a process that is alive. */
 		if (err != -EPROTO)
 			crash_check_begin(r->traffic, s->backend, r->digest);
 	}
 	outlier_note(s->backend,
-		     err == -ETIMEDOUT ? TROUBLE_TIMEOUT : TROUBLE_BROKEN,
+		     err == -ETIMEDOUT ? FAILURE_TIMEOUT : FAILURE_BROKEN,
 		     clock_ms());
 	end_send(s);
 	if (!sent)
-		r->undenied--;
-	go_on(r, err == -ETIMEDOUT ? 504 : 502,
-	      err == -ETIMEDOUT ? "timeout" : "connection broke");
+		r->maybe_executed--;
+	after_failed_send(r, err == -ETIMEDOUT ? 504 : 502,
+			  err == -ETIMEDOUT ? "timeout" : "connection broke");
 }
 
 static const struct upstream_ops send_ops = {send_judge, send_response,
 					     send_failed};
 
+/* Counts a send; an extra one is charged to the retry budget. */
 static void count_send(struct request *r, enum extra_cause cause,
 		       int64_t now_ms)
 {
@@ -233,9 +247,9 @@
 		r->stats->retries++;
 }
 
-/* When a second server gets the request, if none has answered; 0: never. */
-static int64_t second_send_at(struct request *r, const struct send *s,
-			      int64_t now_ms)
+/* Returns when to send a second copy if there is no response; 0: never. */
+static int64_t hedge_time_ms(struct request *r, const struct send *s,
+			     int64_t now_ms)
 {
 	if (!r->route->idempotent || r->nsends != 1)
 		return 0;
@@ -250,13 +264,13 @@
 	return now_ms + rescue_delay_ms(s->estimate_ms, r->route->target_ms);
 }
 
-/* request_send() sends the request to b on a connection it now owns. */
+/* Sends the request to b on u, which it takes over. */
 void request_send(struct request *r, struct backend *b, struct upstream *u)
 {
 	struct send *s = &r->sends[r->nsends];
 	enum extra_cause cause = request_extra_cause(r);
 	int64_t now_ms = clock_ms();
-	int64_t left = r->due_ms - now_ms;
+	int64_t left_ms = r->deadline_ms - now_ms;
 	struct buf bytes = {0};
 
 	r->nsends++;
@@ -267,24 +281,25 @@
 			   .extra = r->nsends > 1,
 			   .cause = cause,
 			   .sent_ms = now_ms,
-			   .start = place_server_view(b, now_ms),
+			   .server = place_server_view(b, now_ms),
 			   .estimate_ms = place_estimate_ms(
 				   b, r->stats->work.usual_ms, now_ms)};
 	b->in_flight++;
-	share_changed(r->traffic, b->service);
-	r->undenied++;
+	inflight_report_changed(r->traffic, b->service);
+	r->maybe_executed++;
 	request_log_sent(r, s, now_ms);
 	limit_sends_charge(s);
-	/* Its report is older than this request. */
+	/* The load report is older than this request. */
 	if (b->load.at_ms)
 		b->load.running++;
 	exchange_write_request(&bytes, r->message, &r->call, b,
-			       left > 1 ? (uint32_t)left : 1, r->traffic->via);
-	r->hedge_ms = second_send_at(r, s, now_ms);
-	/* The request's own time limit ends it; this is only a backstop. */
-	upstream_exchange(u, buf_lstr(&bytes), (double)left / 1000 + 1,
+			       left_ms > 1 ? (uint32_t)left_ms : 1,
+			       r->traffic->via);
+	r->hedge_at_ms = hedge_time_ms(r, s, now_ms);
+	/* Backstop; the request's own deadline fires first. */
+	upstream_exchange(u, buf_lstr(&bytes), (double)left_ms / 1000 + 1,
 			  lstr_eq(r->message->method, LSTR("HEAD")), &send_ops,
 			  s);
 	buf_free(&bytes);
-	request_arm(r);
+	request_arm_timer(r);
 }
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -11,39 +11,39 @@
 #include "member/select_instances.h"
 #include "platform/directory.h"
 #include "traffic/drain_gossip.h"
+#include "traffic/inflight_report.h"
 #include "traffic/limit_sends.h"
 #include "traffic/limits.h"
 #include "traffic/metrics.h"
 #include "traffic/request.h"
-#include "traffic/share.h"
 #include "traffic/traffic.h"
 #include "traffic/upstream.h"
 
 enum {
-	/* Until the first version names the callers' limits. */
-	START_HEAD_MAX = 16 * 1024,
-	START_BODY_MAX = 64 << 20,
+	/* Used until the first configuration sets the callers' limits. */
+	DEFAULT_HEAD_MAX = 16 * 1024,
+	DEFAULT_BODY_MAX = 64 << 20,
 	/*
-	 * A stopping instance takes requests this long: callers keep an
-	 * address for some seconds after they were told of another.
+	 * How long a stopping instance still accepts connections: callers keep
+	 * an address for some seconds after the directory names another.
 	 */
 	STOP_ACCEPT_MS = 3000,
 	STOP_CHECK_MS = 50,
-	/* Keys of protected calls that are remembered; 100 bytes each. */
+	/* Idempotency keys remembered, about 100 bytes each. */
 	DEDUP_KEYS_MAX = 50 * 1000,
-	/* Left of the grace time for the exit itself. */
+	/* Part of the grace time kept for the exit itself. */
 	STOP_RESERVE_MS = 400,
 };
 
-static const double START_HEAD_TIMEOUT_S = 3;
-static const double START_IDLE_TIMEOUT_S = 15;
+static const double DEFAULT_HEAD_TIMEOUT_S = 3;
+static const double DEFAULT_IDLE_TIMEOUT_S = 15;
 
-/* Time that a question to this instance's own services may take. */
-static const double SERVICE_TIMEOUT_S = 5;
+/* Time to receive a request head on the local service ports. */
+static const double LOCAL_HEAD_TIMEOUT_S = 5;
 
-/* traffic_class() finds the statistics of a kind of request. */
-struct class_stats *traffic_class(struct traffic *t, const char *service,
-				  uint32_t target_ms)
+/* Returns the statistics of a request class, created on first use. */
+struct class_stats *traffic_class_stats(struct traffic *t, const char *service,
+					uint32_t target_ms)
 {
 	char name[BACKEND_NAME_MAX + 16];
 	struct class_stats *c;
@@ -60,10 +60,10 @@
 }
 
 /*
- * traffic_servers() counts the backend servers that requests may go to: an
- * entry of the list whose service no version names brings none.
+ * Returns the number of backend servers that requests may be routed to. Listed
+ * servers whose service isn't in the configuration don't count.
  */
-unsigned traffic_servers(struct traffic *t)
+unsigned traffic_count_backends(struct traffic *t)
 {
 	unsigned n = 0;
 
@@ -82,11 +82,11 @@
 						.body = body});
 }
 
-/* Ready: this instance can serve, and isn't stopping. */
+/* Readiness check: configured, has backend servers and isn't stopping. */
 static void on_ready(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct traffic *t = priv;
-	bool ready = t->config && !t->stopping && traffic_servers(t) > 0;
+	bool ready = t->config && !t->stopping && traffic_count_backends(t) > 0;
 
 	http_message_free(m);
 	reply_plain(c, ready ? 200 : 503, LSTR(""), LSTR(""));
@@ -96,26 +96,26 @@
 			 struct http_message *m)
 {
 	struct traffic *t = priv;
-	const struct peer_endpoint *named[DIRECTORY_MAX];
+	const struct peer_endpoint *advised[DIRECTORY_MAX];
 	struct lstr addrs[DIRECTORY_MAX];
 	struct buf body = {0};
 	char dc[PEER_NAME_MAX];
-	bool question = directory_question(m->target, dc, sizeof(dc));
+	bool valid = directory_question(m->target, dc, sizeof(dc));
 	size_t n = 0;
 
 	http_message_free(m);
-	if (!question) {
+	if (!valid) {
 		reply_plain(c, 404, LSTR(""), LSTR(""));
 		return;
 	}
-	t->counters.directory++;
+	t->counters.directory_answers++;
 	if (t->peers.named)
 		n = select_instances((const struct peer_endpoint *)(void *)
 					     t->peers.named->data,
-				     t->peers.named->len, dc, t->rand, named,
+				     t->peers.named->len, dc, t->rand, advised,
 				     DIRECTORY_MAX);
 	for (size_t i = 0; i < n; i++)
-		addrs[i] = lstr0(named[i]->caller_addr);
+		addrs[i] = lstr0(advised[i]->caller_addr);
 	directory_write(&body, addrs, n, t->bounds.directory_keep_s);
 	reply_plain(c, 200, LSTR("Content-Type: application/msgpack\r\n"),
 		    buf_lstr(&body));
@@ -133,12 +133,18 @@
 	buf_free(&body);
 }
 
-static const struct http_server_ops front_ops = {request_begin, request_gone};
+static const struct http_server_ops front_ops = {request_receive,
+						 request_caller_left};
 static const struct http_server_ops ready_ops = {on_ready, NULL};
 static const struct http_server_ops directory_ops = {on_directory, NULL};
-static const struct http_server_ops own_ops = {own_request, request_gone};
+static const struct http_server_ops own_ops = {own_request,
+					       request_caller_left};
 static const struct http_server_ops metrics_ops = {on_metrics, NULL};
 
+/*
+ * Closes connections to a removed server: all of them if its process has ended,
+ * else the idle ones.
+ */
 static void on_backend_gone(void *priv, struct backend *b, bool ended)
 {
 	if (ended)
@@ -147,20 +153,21 @@
 		upstream_drop_idle(b);
 }
 
-/* The callers' limits stand in the configuration. */
-static void take_limits(struct traffic *t, const struct config_limits *l)
+/* Applies the caller-facing limits of the configuration. */
+static void apply_caller_limits(struct traffic *t,
+				const struct config_limits *l)
 {
 	if (l->head_max)
-		t->front.limits.head_max = l->head_max;
+		t->caller_server.limits.head_max = l->head_max;
 	if (l->body_max)
-		t->front.limits.body_max = l->body_max;
+		t->caller_server.limits.body_max = l->body_max;
 	if (l->head_timeout_ms)
-		t->front.head_timeout_s = l->head_timeout_ms / 1000.0;
+		t->caller_server.head_timeout_s = l->head_timeout_ms / 1000.0;
 	if (l->idle_timeout_ms)
-		t->front.idle_timeout_s = l->idle_timeout_ms / 1000.0;
+		t->caller_server.idle_timeout_s = l->idle_timeout_ms / 1000.0;
 }
 
-static void take_policies(struct traffic *t)
+static void apply_policies(struct traffic *t)
 {
 	for (size_t i = 0; i < t->config->nservices; i++) {
 		const struct service_config *sc = &t->config->services[i];
@@ -170,7 +177,7 @@
 	}
 }
 
-static void take_drained(struct traffic *t)
+static void apply_drained(struct traffic *t)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -183,20 +190,20 @@
 	}
 }
 
-static void take_config(struct traffic *t, struct config *c)
+static void apply_config(struct traffic *t, struct config *c)
 {
 	mp_invariant(!t->config || c->version >= t->config->version,
-		     "configuration went back from %" G_GUINT64_FORMAT
+		     "configuration version went back from %" G_GUINT64_FORMAT
 		     " to %" G_GUINT64_FORMAT,
 		     t->config->version, c->version);
 	config_unref(t->config);
 	t->config = c;
-	take_limits(t, &c->limits);
-	take_policies(t);
-	take_drained(t);
+	apply_caller_limits(t, &c->limits);
+	apply_policies(t);
+	apply_drained(t);
 }
 
-static void take_change(struct traffic *t, struct backend_change *c)
+static void apply_backend_change(struct traffic *t, struct backend_change *c)
 {
 	if (c->removed) {
 		backend_set_remove(&t->backends, c->entry.id);
@@ -205,44 +212,50 @@
 		limits_listed(t, c->entry.id);
 	}
 	if (t->config && t->config->ndrained)
-		take_drained(t);
+		apply_drained(t);
 	g_free(c);
 }
 
-static void on_stop_check(struct ev_loop *loop, ev_timer *timer, int revents)
+/*
+ * Stops listening after a while and exits when no request is open, or when the
+ * grace time ends.
+ */
+static void on_shutdown_timer(struct ev_loop *loop, ev_timer *timer,
+			      int revents)
 {
 	struct traffic *t = timer->data;
-	int64_t since = clock_ms() - t->stopping_ms;
-	int64_t grace = (int64_t)(t->bounds.grace_s * 1000);
+	int64_t elapsed_ms = clock_ms() - t->stopping_ms;
+	int64_t grace_ms = (int64_t)(t->bounds.grace_s * 1000);
 
-	if (since < STOP_ACCEPT_MS && since < grace / 2)
+	if (elapsed_ms < STOP_ACCEPT_MS && elapsed_ms < grace_ms / 2)
 		return;
-	http_server_stop_listening(&t->front);
-	http_server_stop_listening(&t->own);
-	http_server_close_idle(&t->front);
-	http_server_close_idle(&t->own);
-	if ((http_server_busy(&t->front) || http_server_busy(&t->own)) &&
-	    since < grace - STOP_RESERVE_MS)
+	http_server_stop_listening(&t->caller_server);
+	http_server_stop_listening(&t->own_server);
+	http_server_close_idle(&t->caller_server);
+	http_server_close_idle(&t->own_server);
+	if ((http_server_busy(&t->caller_server) ||
+	     http_server_busy(&t->own_server)) &&
+	    elapsed_ms < grace_ms - STOP_RESERVE_MS)
 		return;
 	mp_event(EV_STOPPED, G_LOG_LEVEL_MESSAGE, "open_requests=%u",
 		 t->open_requests);
 	ev_break(loop, EVBREAK_ALL);
 }
 
-static void begin_stop(struct traffic *t)
+static void begin_shutdown(struct traffic *t)
 {
 	t->stopping = true;
 	t->stopping_ms = clock_ms();
-	t->front.last_answers = true;
-	t->own.last_answers = true;
-	ev_timer_init(&t->stop_timer, on_stop_check, STOP_CHECK_MS / 1000.0,
+	t->caller_server.last_answers = true;
+	t->own_server.last_answers = true;
+	ev_timer_init(&t->stop_timer, on_shutdown_timer, STOP_CHECK_MS / 1000.0,
 		      STOP_CHECK_MS / 1000.0);
 	t->stop_timer.data = t;
 	ev_timer_start(t->loop, &t->stop_timer);
 }
 
-/* The allowances of all instances together. */
-static void take_bounds(struct traffic *t, const struct bounds *b)
+/* Applies the limits that all instances share. */
+static void apply_bounds(struct traffic *t, const struct bounds *b)
 {
 	t->bounds = *b;
 	t->budget_params.ratio = b->retry_ratio;
@@ -252,37 +265,38 @@
 }
 
 /*
- * The part of an instance in what all share is by the most that this lifetime
- * knew of at once: one that is cut off hears fewer, and they all live.
+ * Applies a new view of the peers. Shared limits are divided by the highest
+ * instance count this lifetime has seen: a partitioned instance sees fewer
+ * peers, but they are all still running.
  */
-static void take_peers(struct traffic *t, const struct peer_view *v)
+static void apply_peers(struct traffic *t, const struct peer_view *v)
 {
 	if (t->peers.named)
 		g_array_unref(t->peers.named);
 	if (t->peers.sharers)
 		g_array_unref(t->peers.sharers);
 	t->peers = *v;
-	if (v->instances > t->most_instances)
-		t->most_instances = v->instances;
-	t->budget_params.instances = t->most_instances;
-	t->probe_rate.instances = t->most_instances;
+	if (v->instances > t->max_instances)
+		t->max_instances = v->instances;
+	t->budget_params.instances = t->max_instances;
+	t->probe_rate.instances = t->max_instances;
 	limits_peers_changed(t);
 	drain_gossip_peers_changed(t);
 }
 
-static void receive(void *priv, struct mail *m)
+static void on_mail(void *priv, struct mail *m)
 {
 	struct traffic *t = priv;
 
 	switch ((enum to_traffic)m->kind) {
 	case TO_TRAFFIC_CONFIG:
-		take_config(t, m->data);
+		apply_config(t, m->data);
 		break;
 	case TO_TRAFFIC_BACKEND:
-		take_change(t, m->data);
+		apply_backend_change(t, m->data);
 		break;
 	case TO_TRAFFIC_PEERS:
-		take_peers(t, m->data);
+		apply_peers(t, m->data);
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_LOAD:
@@ -303,7 +317,7 @@
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_BOUNDS:
-		take_bounds(t, m->data);
+		apply_bounds(t, m->data);
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_VERDICT:
@@ -311,7 +325,7 @@
 		g_free(m->data);
 		break;
 	case TO_TRAFFIC_STOP:
-		begin_stop(t);
+		begin_shutdown(t);
 		break;
 	}
 }
@@ -330,35 +344,38 @@
 static int open_servers(struct traffic *t)
 {
 	const struct instance_settings *s = t->settings;
-	struct http_server *own[] = {&t->ready, &t->directory, &t->metrics,
-				     &t->own};
+	struct http_server *local[] = {&t->readiness_server,
+				       &t->directory_server, &t->metrics_server,
+				       &t->own_server};
 	int rc;
 
-	t->front.limits = (struct http_limits){START_HEAD_MAX, START_BODY_MAX};
-	t->front.head_timeout_s = START_HEAD_TIMEOUT_S;
-	t->front.idle_timeout_s = START_IDLE_TIMEOUT_S;
-	for (size_t i = 0; i < G_N_ELEMENTS(own); i++) {
-		own[i]->limits =
-			(struct http_limits){START_HEAD_MAX, START_HEAD_MAX};
-		own[i]->head_timeout_s = SERVICE_TIMEOUT_S;
-		own[i]->idle_timeout_s = START_IDLE_TIMEOUT_S;
+	t->caller_server.limits =
+		(struct http_limits){DEFAULT_HEAD_MAX, DEFAULT_BODY_MAX};
+	t->caller_server.head_timeout_s = DEFAULT_HEAD_TIMEOUT_S;
+	t->caller_server.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
+	for (size_t i = 0; i < G_N_ELEMENTS(local); i++) {
+		local[i]->limits = (struct http_limits){DEFAULT_HEAD_MAX,
+							DEFAULT_HEAD_MAX};
+		local[i]->head_timeout_s = LOCAL_HEAD_TIMEOUT_S;
+		local[i]->idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S;
 	}
-	rc = open_server(t, &t->front, s->callers, &front_ops);
+	rc = open_server(t, &t->caller_server, s->callers, &front_ops);
 	if (!rc)
-		rc = open_server(t, &t->ready, s->ready, &ready_ops);
+		rc = open_server(t, &t->readiness_server, s->ready, &ready_ops);
 	if (!rc)
-		rc = open_server(t, &t->directory, s->directory,
+		rc = open_server(t, &t->directory_server, s->directory,
 				 &directory_ops);
 	if (!rc)
-		rc = open_server(t, &t->metrics, s->metrics, &metrics_ops);
+		rc = open_server(t, &t->metrics_server, s->metrics,
+				 &metrics_ops);
 	if (!rc && s->own)
-		rc = open_server(t, &t->own, s->own, &own_ops);
+		rc = open_server(t, &t->own_server, s->own, &own_ops);
 	return rc;
 }
 
 /*
- * traffic_init() opens what the instance serves. Messages to the traffic
- * thread go through t->in. Returns 0 or a negative errno.
+ * Opens the listening sockets. Messages to the traffic thread go through
+ * t->inbox. Returns 0 or a negative errno.
  */
 int traffic_init(struct traffic *t, const struct instance_settings *s,
 		 const struct deploy *deploy, const struct control_view *view,
@@ -369,7 +386,7 @@
 	t->settings = s;
 	mechanisms = s->policy;
 	t->deploy = deploy;
-	t->control = control;
+	t->control_inbox = control;
 	t->control_view = view;
 	t->rand = g_rand_new();
 	t->lifetime = g_rand_int(t->rand);
@@ -377,27 +394,27 @@
 		t->via = g_strdup_printf("%s-%08x", s->name, t->lifetime);
 	t->started_ms = clock_ms();
 	t->classes = g_hash_table_new(g_str_hash, g_str_equal);
-	/* Unknown yet: as many as a large system has. */
+	/* Not known yet: assume a large system. */
 	t->probe_rate.instances = 64;
 	t->budget_params.instances = 1;
-	probe_budget_init(&t->asks, t->started_ms);
-	take_bounds(t, &s->bounds);
-	share_init(t);
+	probe_budget_init(&t->probe_limiter, t->started_ms);
+	apply_bounds(t, &s->bounds);
+	inflight_report_init(t);
 	limits_init(t);
 	drain_gossip_init(t);
 	dedup_init(&t->dedup, DEDUP_KEYS_MAX);
 	quarantine_init(&t->quarantine);
 	backend_set_init(&t->backends, on_backend_gone, t);
-	mailbox_init(&t->in, t->loop, receive, t);
+	mailbox_init(&t->inbox, t->loop, on_mail, t);
 	return open_servers(t);
 }
 
-/* traffic_run() is the traffic thread; it ends after a planned stop. */
+/* Thread function; returns after a graceful shutdown. */
 void *traffic_run(void *traffic)
 {
 	struct traffic *t = traffic;
 
 	ev_run(t->loop, 0);
-	mailbox_send(t->control, FROM_TRAFFIC_STOPPED, NULL);
+	mailbox_send(t->control_inbox, FROM_TRAFFIC_STOPPED, NULL);
 	return NULL;
 }
