--- a/caller/own.c
+++ b/caller/own.c
@@ -90,7 +90,7 @@
 	struct buf headers = {0}, body = {0};
 
 	write_own(&headers, id, status,
-		  status == 503 ? RETRY_AFTER_NO_TARGET_MS / 1000.0 : 0);
+		  status == 503 ? RETRY_AFTER_DEFAULT_MS / 1000.0 : 0);
 	buf_printf(&body, "{\"error\":\"%s\"}", why);
 	reply(c, status, buf_lstr(&headers), buf_lstr(&body));
 	buf_free(&headers);
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -53,7 +53,7 @@
 	return strcmp(a->service, b->service) || strcmp(a->dc, b->dc) ||
 	       memcmp(&a->addr, &b->addr, sizeof(a->addr)) ||
 	       a->slots != b->slots || a->draining != b->draining ||
-	       a->born_ms != b->born_ms;
+	       a->server_start_ms != b->server_start_ms;
 }
 
 /*
--- a/core/admit.h
+++ b/core/admit.h
@@ -15,28 +15,28 @@
 #include <stdint.h>
 
 struct admit_request {
-	double target_ms; /* on time up to here */
-	double spent_ms;  /* since the caller's first attempt */
-	double usual_ms;  /* work time at a server as most are now */
-	double long_ms;	  /* a quarter of the class take longer */
-	double waited_ms; /* of spent_ms, while looking for a server here */
-	bool short_room;  /* the service's servers are full, many of them */
+	double target_ms;    /* on time up to here */
+	double spent_ms;     /* since the caller's first attempt */
+	double median_ms;    /* work time at a server as most are now */
+	double p75_ms;	     /* a quarter of the class take longer */
+	double waited_ms;    /* of spent_ms, while looking for a server here */
+	bool capacity_short; /* the service's servers are full, many of them */
 };
 
 /* How a server stands for a request. */
 struct admit_server {
 	double work_ms; /* expected for this request */
-	double way_ms;	/* there and back */
-	bool has_room;
-	bool has_spare; /* room for one more besides */
+	double rtt_ms;	/* there and back */
+	bool has_capacity;
+	bool has_headroom; /* room for one more besides */
 };
 
 bool admit_can_be_on_time(const struct admit_request *r);
-double admit_wait_ms(const struct admit_request *r);
-bool admit_takes(const struct admit_request *r, const struct admit_server *s,
-		 bool pressed);
-bool admit_takes_rescue(const struct admit_server *s, bool pressed);
-bool admit_takes_second(const struct admit_request *r,
-			const struct admit_server *s, bool pressed);
+double admit_max_wait_ms(const struct admit_request *r);
+bool admit_accepts(const struct admit_request *r, const struct admit_server *s,
+		   bool pressed);
+bool admit_accepts_rescue(const struct admit_server *s, bool pressed);
+bool admit_accepts_hedge(const struct admit_request *r,
+			 const struct admit_server *s, bool pressed);
 
 #endif
--- a/core/availability.c
+++ b/core/availability.c
@@ -36,7 +36,7 @@
 
 static bool has_limit_left(struct backend_limit *l, int64_t now_ms)
 {
-	return l->looks || now_ms < l->granted_ms ||
+	return l->looks || now_ms < l->borrowed_until_ms ||
 	       limit_share_allows(&l->share, now_ms);
 }
 
@@ -53,7 +53,8 @@
 	if (s->resuming && b->in_flight)
 		return HOLD_RESUMING;
 	if (!s->limit)
-		return !s->was_free && b->in_flight ? HOLD_UNKNOWN : HOLD_NONE;
+		return !s->seen_unlimited && b->in_flight ? HOLD_UNKNOWN
+							  : HOLD_NONE;
 	if (!s->limit->said.named)
 		return HOLD_NONE;
 	/* A limit is reserved for requests without another copy. */
@@ -75,8 +76,9 @@
 	return a;
 }
 
-/* backend_takes() tells whether b may be sent to. */
-bool backend_takes(const struct backend *b, enum send_kind kind, int64_t now_ms)
+/* backend_is_available() tells whether b may be sent to. */
+bool backend_is_available(const struct backend *b, enum send_kind kind,
+			  int64_t now_ms)
 {
 	return backend_availability(b, kind, now_ms).hold == HOLD_NONE;
 }
--- a/core/availability.h
+++ b/core/availability.h
@@ -35,8 +35,8 @@
 
 struct availability backend_availability(const struct backend *b,
 					 enum send_kind kind, int64_t now_ms);
-bool backend_takes(const struct backend *b, enum send_kind kind,
-		   int64_t now_ms);
+bool backend_is_available(const struct backend *b, enum send_kind kind,
+			  int64_t now_ms);
 bool backend_is_draining(const struct backend *b);
 bool backend_is_backing_off(const struct backend *b, int64_t now_ms);
 int64_t service_resume_ms(const struct service *s, int64_t now_ms);
--- a/core/backend.c
+++ b/core/backend.c
@@ -37,15 +37,15 @@
 	budget_init(&sv->budget, g_random_double());
 	/* Nobody asks: what is known are the requests of all instances. */
 	if (!mechanisms.ask)
-		sv->load_support = LOAD_NOT_TOLD;
+		sv->load_support = LOAD_NOT_REPORTED;
 	g_hash_table_insert(s->services, sv->name, sv);
 	return sv;
 }
 
-/* service_tells_load() tells whether the servers report their load, or may. */
-bool service_tells_load(const struct service *s)
+/* service_reports_load() tells whether the servers report their load, or may. */
+bool service_reports_load(const struct service *s)
 {
-	return s->load_support != LOAD_NOT_TOLD;
+	return s->load_support != LOAD_NOT_REPORTED;
 }
 
 /* backend_ref() takes one more reference. */
@@ -94,9 +94,9 @@
 bool backend_entry_is_older(const struct backend_entry *a,
 			    const struct backend_entry *b)
 {
-	if (a->born_ms != b->born_ms)
-		return a->born_ms < b->born_ms;
-	return a->born_ms && a->sequence < b->sequence;
+	if (a->server_start_ms != b->server_start_ms)
+		return a->server_start_ms < b->server_start_ms;
+	return a->server_start_ms && a->sequence < b->sequence;
 }
 
 /*
@@ -106,15 +106,15 @@
 bool backend_entry_is_newer(const struct backend_entry *a,
 			    const struct backend_entry *b)
 {
-	if (a->born_ms != b->born_ms)
-		return a->born_ms > b->born_ms;
+	if (a->server_start_ms != b->server_start_ms)
+		return a->server_start_ms > b->server_start_ms;
 	return a->sequence > b->sequence;
 }
 
 /* backend_start_hash() tells starts of servers apart, on all instances alike. */
 uint32_t backend_start_hash(const struct backend_entry *e)
 {
-	guint64 born = e->born_ms;
+	guint64 born = e->server_start_ms;
 
 	return g_str_hash(e->id) ^ g_int64_hash(&born);
 }
@@ -133,7 +133,7 @@
 	b->refs = 1;
 	b->entry = *e;
 	b->start = backend_start_hash(e);
-	b->state = server_state_get(&s->states, e->id, e->born_ms);
+	b->state = server_state_get(&s->states, e->id, e->server_start_ms);
 	b->service = backend_set_service(s, lstr0(e->service));
 	g_ptr_array_add(b->service->backends, b);
 	g_hash_table_insert(s->by_id, b->entry.id, b);
@@ -154,10 +154,10 @@
 
 	if (b && backend_entry_is_older(e, &b->entry))
 		return;
-	if (b && (e->born_ms != b->entry.born_ms ||
+	if (b && (e->server_start_ms != b->entry.server_start_ms ||
 		  strcmp(b->entry.service, e->service) ||
 		  memcmp(&b->entry.addr, &e->addr, sizeof(e->addr)))) {
-		bool again = e->born_ms != b->entry.born_ms;
+		bool again = e->server_start_ms != b->entry.server_start_ms;
 
 		b->state->over = again;
 		take_off(s, b, again);
@@ -168,5 +168,5 @@
 	b->entry.draining = e->draining;
 	b->entry.slots = e->slots;
 	b->entry.sequence = e->sequence;
-	b->warm_until_ms = e->warm_up_ms ? now_ms + e->warm_up_ms : 0;
+	b->warm_up_until_ms = e->warm_up_ms ? now_ms + e->warm_up_ms : 0;
 }
--- a/core/backend.h
+++ b/core/backend.h
@@ -24,11 +24,11 @@
 	char service[BACKEND_NAME_MAX]; /* the service it belongs to */
 	char dc[BACKEND_NAME_MAX];	/* its data centre */
 	struct sockaddr_in addr;
-	unsigned slots;	     /* requests that it works on at once */
-	bool draining;	     /* takes no new work soon */
-	uint32_t warm_up_ms; /* it stays slow this much longer */
-	uint64_t born_ms;    /* its start, by its clock; 0: not told */
-	uint64_t sequence;   /* numbers what it says, from its start on */
+	unsigned slots;		  /* requests that it works on at once */
+	bool draining;		  /* takes no new work soon */
+	uint32_t warm_up_ms;	  /* it stays slow this much longer */
+	uint64_t server_start_ms; /* its start, by its clock; 0: not told */
+	uint64_t sequence;	  /* numbers what it says, from its start on */
 };
 
 /* What a backend server last said of its load. */
@@ -42,11 +42,11 @@
 struct place_policy;
 
 /* Whose part of a server's limit a send is taken from. */
-enum limit_payer {
-	LIMIT_PAYS_NONE, /* it names none */
-	LIMIT_PAYS_OWN,
-	LIMIT_PAYS_PEER, /* that gave it up */
-	LIMIT_PAYS_LOOK, /* nobody's: to hear whether the limit has ended */
+enum limit_charge {
+	LIMIT_CHARGE_NONE, /* it names none */
+	LIMIT_CHARGE_OWN,
+	LIMIT_CHARGE_PEER,  /* that gave it up */
+	LIMIT_CHARGE_PROBE, /* nobody's: to hear whether the limit has ended */
 };
 
 struct backend {
@@ -56,15 +56,15 @@
 	struct server_state *state; /* what this start has said */
 	unsigned refs;
 	bool gone; /* off the list: no new work */
-	int64_t warm_until_ms;
+	int64_t warm_up_until_ms;
 	struct load_report load;
-	double way_ms;	     /* there and back, as questions showed */
+	double rtt_ms;	     /* there and back, as questions showed */
 	unsigned in_flight;  /* requests of this instance that it has */
 	int peers_in_flight; /* of the others, see core/peer_load.h */
 	uint64_t picked;     /* a running number: when it last was */
 	bool drained;	     /* the configuration gives it no new work */
 	double trouble;	     /* decayed failures, see core/outlier.h */
-	int64_t trouble_at_ms;
+	int64_t failure_score_ms;
 	bool shunned; /* what was last logged of it */
 	bool down;    /* the last question failed; for the log */
 	bool ended;   /* its process is known to be gone */
@@ -74,7 +74,7 @@
 };
 
 /* Whether a service's backend servers report their load. */
-enum load_support { LOAD_UNKNOWN, LOAD_TOLD, LOAD_NOT_TOLD };
+enum load_support { LOAD_UNKNOWN, LOAD_REPORTED, LOAD_NOT_REPORTED };
 
 struct service {
 	char name[BACKEND_NAME_MAX];
@@ -84,10 +84,10 @@
 	struct budget_account account; /* of this lifetime */
 	const struct place_policy *policy;
 	struct service_model model; /* what its servers' answers showed */
-	int64_t pressed_ms;	/* room was missed by then, see core/admit.h */
+	int64_t capacity_missed_ms; /* room was missed by then, see core/admit.h */
 	GQueue waiting;		/* requests that found no room, best first */
 	struct limit_want want; /* what is asked of peers, see there */
-	int64_t promised_ms; /* turns up to then are promised, see retry_after */
+	int64_t last_turn_ms; /* turns up to then are promised, see retry_after */
 };
 
 struct backend_set {
@@ -103,7 +103,7 @@
 		      void (*on_gone)(void *priv, struct backend *b,
 				      bool ended),
 		      void *priv);
-bool service_tells_load(const struct service *s);
+bool service_reports_load(const struct service *s);
 struct service *backend_set_service(struct backend_set *s, struct lstr name);
 void backend_set_put(struct backend_set *s, const struct backend_entry *e,
 		     int64_t now_ms);
--- a/core/drain_news.h
+++ b/core/drain_news.h
@@ -12,7 +12,7 @@
 
 struct drain_item {
 	char id[BACKEND_NAME_MAX];
-	uint64_t born_ms;
+	uint64_t server_start_ms;
 };
 
 struct drain_news {
--- a/core/learn.c
+++ b/core/learn.c
@@ -11,16 +11,17 @@
 static const double HALF_LIFE_MS = 30000;
 
 /* Answers that the prior counts for. */
-static const double PRIOR_ANSWERS = 10;
+static const double PRIOR_WEIGHT = 10;
 
 /* No answer says more than this, in either direction. */
-static const double FACTOR_MOST = 20;
+static const double RATIO_MAX = 20;
 
 /*
  * Upper ends of the steps of reported slow-down, in percent. Within a step
  * servers are taken to exaggerate, or play down, alike.
  */
-static const unsigned TOLD_UP_TO_PCT[LEARN_TOLD - 1] = {120, 250, 600};
+static const unsigned SLOWDOWN_STEP_MAX_PCT[LATENCY_SLOWDOWN_STEPS - 1] = {
+	120, 250, 600};
 
 /* Targets are set at about three times the usual time. */
 static const double TARGET_PER_WORK = 3;
@@ -29,54 +30,54 @@
  * Answers of servers that had other work, or were slow, say less of the usual
  * time: it takes a factor that is learned at the same time to get at it.
  */
-static const double UNSURE_SHARE = 0.3;
+static const double CORRECTED_SAMPLE_WEIGHT = 0.3;
 
 /* Until answers tell, a quarter is expected to take this much of the usual. */
-static const double LONG_PER_USUAL = 1.25;
+static const double P75_TO_MEDIAN = 1.25;
 
 /*
  * Quantiles follow each answer by a step, at first by more: a class that works
  * five times as long as expected is known after some 30 answers.
  */
-static const double STEP_LEAST = 0.03;
-static const double STEP_FIRST = 0.1;
-static const double STEP_SLACKENS = 0.1; /* of itself at each answer */
+static const double STEP_MIN = 0.03;
+static const double STEP_INITIAL = 0.1;
+static const double STEP_DECAY = 0.1; /* of itself at each answer */
 
 /*
  * What a server as most are now offers: the better quarter, as a request looks
  * at several before it starts. When all turn slow at once it is known after a
  * few dozen servers seen, which one instance sees in a second.
  */
-static const double OFFER_BELOW = 0.25;
-static const double OFFER_STEP = 0.15;
+static const double TYPICAL_QUANTILE = 0.25;
+static const double TYPICAL_STEP = 0.15;
 
 /*
  * Room counts as short when a tenth of some two dozen servers seen had none:
  * with two asked each time, one request in a hundred finds both full by then.
  */
-static const double FULL_STEP = 0.05;
-static const double FULL_SHORT = 0.1;
+static const double FULL_EWMA_WEIGHT = 0.05;
+static const double FULL_SHARE_SHORT = 0.1;
 
 /*
  * With all slots at work a server may do a little less than with fewer. Up to
  * this share the slot is still of use: a request that starts now waits less.
  */
-static const double ROOM_SHARE = 0.85;
+static const double THROUGHPUT_SHARE_MIN = 0.85;
 
 /* A crowd that gets this much more done is worth its longer work. */
-static const double BEST_GAIN = 1.02;
+static const double THROUGHPUT_GAIN_MIN = 1.02;
 
-static double fade(const struct learn_mean *m, int64_t now_ms)
+static double fade(const struct decayed_mean *m, int64_t now_ms)
 {
 	double age = (double)(now_ms - m->at_ms);
 
 	return age > 0 ? exp2(-age / HALF_LIFE_MS) : 1;
 }
 
-static void note(struct learn_mean *m, double ratio, int64_t now_ms)
+static void note(struct decayed_mean *m, double ratio, int64_t now_ms)
 {
 	double left = fade(m, now_ms);
-	double bounded = fmin(fmax(ratio, 1 / FACTOR_MOST), FACTOR_MOST);
+	double bounded = fmin(fmax(ratio, 1 / RATIO_MAX), RATIO_MAX);
 
 	m->log_sum = m->log_sum * left + log(bounded);
 	m->weight = m->weight * left + 1;
@@ -84,39 +85,40 @@
 }
 
 /* The mean with a prior of 1. */
-static double value(const struct learn_mean *m, int64_t now_ms)
+static double value(const struct decayed_mean *m, int64_t now_ms)
 {
 	double left = fade(m, now_ms);
 
-	return exp(m->log_sum * left / (m->weight * left + PRIOR_ANSWERS));
+	return exp(m->log_sum * left / (m->weight * left + PRIOR_WEIGHT));
 }
 
-/* The step of a server with at_work of its slots taken; a full one the last. */
-static unsigned crowd_step(unsigned at_work, unsigned slots)
+/* The step of a server with active_requests of its slots taken; a full one the last. */
+static unsigned load_step(unsigned active_requests, unsigned slots)
 {
-	unsigned n = at_work < slots ? at_work : slots;
+	unsigned n = active_requests < slots ? active_requests : slots;
 
 	if (n == 0)
 		n = 1;
-	if (slots > LEARN_CROWD)
-		n = (n * LEARN_CROWD + slots - 1) / slots;
-	return n > LEARN_CROWD ? LEARN_CROWD - 1 : n - 1;
+	if (slots > LATENCY_LOAD_STEPS)
+		n = (n * LATENCY_LOAD_STEPS + slots - 1) / slots;
+	return n > LATENCY_LOAD_STEPS ? LATENCY_LOAD_STEPS - 1 : n - 1;
 }
 
 /* A single request is what others are measured by: its factor is 1. */
-static double crowd(const struct service_model *m, unsigned at_work,
+static double crowd(const struct service_model *m, unsigned active_requests,
 		    unsigned slots, int64_t now_ms)
 {
-	unsigned step = crowd_step(at_work, slots);
+	unsigned step = load_step(active_requests, slots);
 
 	return step && mechanisms.learn ? value(&m->crowd[step], now_ms) : 1;
 }
 
-static unsigned told_step(unsigned slowdown_pct)
+static unsigned slowdown_step(unsigned slowdown_pct)
 {
 	unsigned i = 0;
 
-	while (i < LEARN_TOLD - 1 && slowdown_pct > TOLD_UP_TO_PCT[i])
+	while (i < LATENCY_SLOWDOWN_STEPS - 1 &&
+	       slowdown_pct > SLOWDOWN_STEP_MAX_PCT[i])
 		i++;
 	return i;
 }
@@ -125,7 +127,7 @@
 static double told(const struct service_model *m, unsigned slowdown_pct,
 		   int64_t now_ms)
 {
-	unsigned step = told_step(slowdown_pct);
+	unsigned step = slowdown_step(slowdown_pct);
 
 	if (!slowdown_pct)
 		return 1;
@@ -133,12 +135,12 @@
 	       (step ? value(&m->told[step], now_ms) : 1);
 }
 
-/* learn_work_init() starts a class of which only its target is known. */
-void learn_work_init(struct work_model *w, uint32_t target_ms)
+/* work_model_init() starts a class of which only its target is known. */
+void work_model_init(struct work_model *w, uint32_t target_ms)
 {
-	w->usual_ms = target_ms / TARGET_PER_WORK;
-	w->long_ms = w->usual_ms * LONG_PER_USUAL;
-	w->mean_ms = w->usual_ms;
+	w->median_ms = target_ms / TARGET_PER_WORK;
+	w->p75_ms = w->median_ms * P75_TO_MEDIAN;
+	w->mean_ms = w->median_ms;
 	w->answers = 0;
 }
 
@@ -149,33 +151,33 @@
 }
 
 /* `sure`: no factor but 1 had to be taken out of ms. */
-static void learn_work(struct work_model *w, double ms, bool sure)
+static void update_work_model(struct work_model *w, double ms, bool sure)
 {
-	double step = STEP_FIRST / (1 + STEP_SLACKENS * w->answers);
-	double spread = w->long_ms / w->usual_ms;
+	double step = STEP_INITIAL / (1 + STEP_DECAY * w->answers);
+	double spread = w->p75_ms / w->median_ms;
 
-	if (step < STEP_LEAST)
-		step = STEP_LEAST;
+	if (step < STEP_MIN)
+		step = STEP_MIN;
 	if (!sure)
-		step *= UNSURE_SHARE;
+		step *= CORRECTED_SAMPLE_WEIGHT;
 	w->answers++;
-	follow(&w->usual_ms, ms, 0.5, 2 * step);
-	follow(&spread, ms / w->usual_ms, 0.25, 2 * step);
-	w->long_ms = w->usual_ms * fmax(spread, 1);
+	follow(&w->median_ms, ms, 0.5, 2 * step);
+	follow(&spread, ms / w->median_ms, 0.25, 2 * step);
+	w->p75_ms = w->median_ms * fmax(spread, 1);
 	w->mean_ms *= pow(ms / w->mean_ms, step);
 }
 
 /*
- * learn_answer() takes in that a request of class w took `ms` at a server that
+ * latency_record() takes in that a request of class w took `ms` at a server that
  * stood as v says when it started.
  */
-void learn_answer(struct service_model *m, struct work_model *w,
-		  const struct server_view *v, double ms, int64_t now_ms)
+void latency_record(struct service_model *m, struct work_model *w,
+		    const struct server_view *v, double ms, int64_t now_ms)
 {
-	unsigned crowded = crowd_step(v->at_work, v->slots);
-	unsigned slowed = told_step(v->slowdown_pct);
+	unsigned crowded = load_step(v->active_requests, v->slots);
+	unsigned slowed = slowdown_step(v->slowdown_pct);
 	double by_told = told(m, v->slowdown_pct, now_ms);
-	double by_crowd = crowd(m, v->at_work, v->slots, now_ms);
+	double by_crowd = crowd(m, v->active_requests, v->slots, now_ms);
 	double by_warm = v->warm ? value(&m->warm, now_ms) : 1;
 	double all = by_told * by_crowd * by_warm;
 	double ratio;
@@ -189,51 +191,52 @@
 		     now_ms);
 	if (v->warm)
 		note(&m->warm, ratio * by_warm, now_ms);
-	learn_work(w, ms / all, !crowded && !slowed && !v->warm);
+	update_work_model(w, ms / all, !crowded && !slowed && !v->warm);
 }
 
 /*
- * learn_factor() expects how many times its usual time a request takes that
+ * latency_factor() expects how many times its usual time a request takes that
  * starts at a server that stands as v says.
  */
-double learn_factor(const struct service_model *m, const struct server_view *v,
-		    int64_t now_ms)
+double latency_factor(const struct service_model *m,
+		      const struct server_view *v, int64_t now_ms)
 {
 	if (!mechanisms.learn)
 		return v->slowdown_pct ? v->slowdown_pct / 100.0 : 1;
 	double f = told(m, v->slowdown_pct, now_ms) *
-		   crowd(m, v->at_work, v->slots, now_ms);
+		   crowd(m, v->active_requests, v->slots, now_ms);
 
 	return v->warm ? f * value(&m->warm, now_ms) : f;
 }
 
 /*
- * learn_offer() takes in what a server offers whose load was just seen, as
- * learn_factor() gives it, and whether it has room.
+ * latency_record_server() takes in what a server offers whose load was just seen, as
+ * latency_factor() gives it, and whether it has room.
  */
-void learn_offer(struct service_model *m, double factor, bool has_room)
+void latency_record_server(struct service_model *m, double factor,
+			   bool has_capacity)
 {
-	m->full += FULL_STEP * ((has_room ? 0 : 1) - m->full);
+	m->full += FULL_EWMA_WEIGHT * ((has_capacity ? 0 : 1) - m->full);
 	if (m->offer <= 0)
 		m->offer = 1;
-	follow(&m->offer, factor, 1 - OFFER_BELOW, OFFER_STEP);
+	follow(&m->offer, factor, 1 - TYPICAL_QUANTILE, TYPICAL_STEP);
 }
 
 /*
- * learn_is_short() tells whether room is short: of the servers seen lately
+ * latency_capacity_short() tells whether room is short: of the servers seen lately
  * more had none than chance would have it on a calm day.
  */
-bool learn_is_short(const struct service_model *m)
+bool latency_capacity_short(const struct service_model *m)
 {
-	return m->full > FULL_SHORT;
+	return m->full > FULL_SHARE_SHORT;
 }
 
 /*
- * learn_usual_factor() tells at how many times the usual time a request can
+ * latency_typical_factor() tells at how many times the usual time a request can
  * start when it looks around: what the better servers offer lately. Above 1 all
  * are slow, and waiting for a quick one is vain.
  */
-double learn_usual_factor(const struct service_model *m)
+double latency_typical_factor(const struct service_model *m)
 {
 	return m->offer > 1 ? m->offer : 1;
 }
@@ -246,11 +249,11 @@
 }
 
 /*
- * learn_best() says with how many requests a server gets most done; of several
+ * latency_best_concurrency() says with how many requests a server gets most done; of several
  * numbers that are alike the lowest.
  */
-unsigned learn_best(const struct service_model *m, unsigned slots,
-		    int64_t now_ms)
+unsigned latency_best_concurrency(const struct service_model *m, unsigned slots,
+				  int64_t now_ms)
 {
 	double most = 0;
 	unsigned best = 0;
@@ -258,7 +261,7 @@
 	for (unsigned n = 1; n <= slots; n++) {
 		double done = throughput(m, n, slots, now_ms);
 
-		if (done <= most * BEST_GAIN)
+		if (done <= most * THROUGHPUT_GAIN_MIN)
 			continue;
 		most = done;
 		best = n;
@@ -267,13 +270,13 @@
 }
 
 /*
- * learn_room() says how many requests a server with so many slots is to have
+ * latency_max_concurrency() says how many requests a server with so many slots is to have
  * at work: as many as it does most with, or nearly. Never more than it has
  * slots: a request waits better here, where the first server with room takes
  * it, and a server whose queue is full may never answer.
  */
-unsigned learn_room(const struct service_model *m, unsigned slots,
-		    int64_t now_ms)
+unsigned latency_max_concurrency(const struct service_model *m, unsigned slots,
+				 int64_t now_ms)
 {
 	double most = 0;
 	unsigned room = slots;
@@ -281,7 +284,7 @@
 	for (unsigned n = 1; n <= slots; n++)
 		most = fmax(most, throughput(m, n, slots, now_ms));
 	while (room > 1 &&
-	       throughput(m, room, slots, now_ms) < ROOM_SHARE * most)
+	       throughput(m, room, slots, now_ms) < THROUGHPUT_SHARE_MIN * most)
 		room--;
 	return room;
 }
--- a/core/learn.h
+++ b/core/learn.h
@@ -16,52 +16,54 @@
 #include <stdint.h>
 
 enum {
-	LEARN_CROWD = 16, /* steps from an idle to a full server */
-	LEARN_TOLD = 4,	  /* steps of reported slow-down */
+	LATENCY_LOAD_STEPS = 16,    /* steps from an idle to a full server */
+	LATENCY_SLOWDOWN_STEPS = 4, /* steps of reported slow-down */
 };
 
 /* A geometric mean whose samples fade. */
-struct learn_mean {
+struct decayed_mean {
 	double log_sum, weight;
 	int64_t at_ms; /* both are right as of then */
 };
 
 /* The servers of one service. */
 struct service_model {
-	struct learn_mean crowd[LEARN_CROWD]; /* by requests at work */
-	struct learn_mean told[LEARN_TOLD];   /* actual by reported slow-down */
-	struct learn_mean warm; /* beyond what a new one reports */
+	struct decayed_mean crowd[LATENCY_LOAD_STEPS]; /* by requests at work */
+	struct decayed_mean
+		told[LATENCY_SLOWDOWN_STEPS]; /* actual by reported slow-down */
+	struct decayed_mean warm; /* beyond what a new one reports */
 	double offer; /* a quarter of the servers seen offer less; 0: unseen */
 	double full;  /* share of the servers seen that had no room, of late */
 };
 
 /* One class of requests. */
 struct work_model {
-	double usual_ms; /* median at a quick server with nothing else to do */
-	double long_ms;	 /* a quarter of its requests take longer */
-	double mean_ms;	 /* geometric mean: what factors are measured by */
+	double median_ms; /* median at a quick server with nothing else to do */
+	double p75_ms;	  /* a quarter of its requests take longer */
+	double mean_ms;	  /* geometric mean: what factors are measured by */
 	unsigned answers;
 };
 
 /* A server as it was, or is, when a request starts there. */
 struct server_view {
-	unsigned at_work; /* requests, this one included */
+	unsigned active_requests; /* requests, this one included */
 	unsigned slots;
 	unsigned slowdown_pct; /* as reported; 0: none */
 	bool warm;	       /* it has said that it is still slow */
 };
 
-void learn_work_init(struct work_model *w, uint32_t target_ms);
-void learn_answer(struct service_model *m, struct work_model *w,
-		  const struct server_view *v, double ms, int64_t now_ms);
-double learn_factor(const struct service_model *m, const struct server_view *v,
-		    int64_t now_ms);
-void learn_offer(struct service_model *m, double factor, bool has_room);
-bool learn_is_short(const struct service_model *m);
-double learn_usual_factor(const struct service_model *m);
-unsigned learn_best(const struct service_model *m, unsigned slots,
-		    int64_t now_ms);
-unsigned learn_room(const struct service_model *m, unsigned slots,
-		    int64_t now_ms);
+void work_model_init(struct work_model *w, uint32_t target_ms);
+void latency_record(struct service_model *m, struct work_model *w,
+		    const struct server_view *v, double ms, int64_t now_ms);
+double latency_factor(const struct service_model *m,
+		      const struct server_view *v, int64_t now_ms);
+void latency_record_server(struct service_model *m, double factor,
+			   bool has_capacity);
+bool latency_capacity_short(const struct service_model *m);
+double latency_typical_factor(const struct service_model *m);
+unsigned latency_best_concurrency(const struct service_model *m, unsigned slots,
+				  int64_t now_ms);
+unsigned latency_max_concurrency(const struct service_model *m, unsigned slots,
+				 int64_t now_ms);
 
 #endif
--- a/core/limit_room.c
+++ b/core/limit_room.c
@@ -8,7 +8,7 @@
 {
 	int64_t next = limit_share_next_ms(&l->share, now_ms);
 
-	if (now_ms < l->granted_ms) {
+	if (now_ms < l->borrowed_until_ms) {
 		room->ready++;
 		room->saved++;
 	}
@@ -30,7 +30,7 @@
 	for (guint i = 0; i < s->backends->len; i++) {
 		const struct backend *b = g_ptr_array_index(s->backends, i);
 
-		if (!backend_takes(b, SEND_COMMITTED, now_ms))
+		if (!backend_is_available(b, SEND_COMMITTED, now_ms))
 			continue;
 		room.all = backend_is_limited(b);
 		if (!room.all)
--- a/core/outlier.c
+++ b/core/outlier.c
@@ -18,18 +18,18 @@
  * From here on a server is asked only when no other is left: two failures in
  * a row, or three within some seconds.
  */
-static const double OUTLIER_SHUN = 1.5;
+static const double OUTLIER_THRESHOLD = 1.5;
 
-/* outlier_shuns() tells whether b is asked only when no other is left. */
-bool outlier_shuns(const struct backend *b, int64_t now_ms)
+/* outlier_is_deprioritized() tells whether b is asked only when no other is left. */
+bool outlier_is_deprioritized(const struct backend *b, int64_t now_ms)
 {
-	return outlier_trouble(b, now_ms) >= OUTLIER_SHUN;
+	return outlier_score(b, now_ms) >= OUTLIER_THRESHOLD;
 }
 
-/* outlier_trouble() returns the decayed weight of past failures. */
-double outlier_trouble(const struct backend *b, int64_t now_ms)
+/* outlier_score() returns the decayed weight of past failures. */
+double outlier_score(const struct backend *b, int64_t now_ms)
 {
-	double age = (double)(now_ms - b->trouble_at_ms);
+	double age = (double)(now_ms - b->failure_score_ms);
 
 	if (b->trouble <= 0)
 		return 0;
@@ -37,18 +37,18 @@
 }
 
 /*
- * outlier_note() adds a bad outcome (weight > 0) or takes off for a good one
+ * outlier_record() adds a bad outcome (weight > 0) or takes off for a good one
  * (weight < 0). The sum never goes below zero.
  */
-void outlier_note(struct backend *b, double weight, int64_t now_ms)
+void outlier_record(struct backend *b, double weight, int64_t now_ms)
 {
-	double t = outlier_trouble(b, now_ms) + weight;
+	double t = outlier_score(b, now_ms) + weight;
 
 	if (!mechanisms.outliers)
 		return;
 	b->trouble = t < 0 ? 0 : t > OUTLIER_MAX ? OUTLIER_MAX : t;
-	b->trouble_at_ms = now_ms;
-	if (outlier_shuns(b, now_ms) == b->shunned)
+	b->failure_score_ms = now_ms;
+	if (outlier_is_deprioritized(b, now_ms) == b->shunned)
 		return;
 	b->shunned = !b->shunned;
 	mp_event(b->shunned ? EV_BACKEND_SHUNNED : EV_BACKEND_TRUSTED,
--- a/core/patience.h
+++ b/core/patience.h
@@ -9,26 +9,29 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-enum { PATIENCE_SEEN = 32, SPREAD_SEEN = 32 };
+enum { CALLER_TIMEOUT_SAMPLES = 32, SPREAD_SAMPLES = 32 };
 
 /* The time that callers of a class give a request. */
-struct patience {
-	uint32_t seen[PATIENCE_SEEN]; /* what the last requests named */
+struct caller_timeout {
+	uint32_t
+		seen[CALLER_TIMEOUT_SAMPLES]; /* what the last requests named */
 	unsigned n;
 	uint32_t limit_ms; /* 0: not known yet */
 };
 
 /* By how much callers' first attempts differ, of all classes together. */
-struct patience_spread {
-	double seen[SPREAD_SEEN]; /* shares of the limit that were missing */
+struct caller_timeout_spread {
+	double seen[SPREAD_SAMPLES]; /* shares of the limit that were missing */
 	unsigned n;
 	double share;
 };
 
-void patience_note(struct patience *p, uint32_t left_ms);
-void patience_spread_note(struct patience_spread *s, const struct patience *p,
-			  uint32_t left_ms, bool calm);
-double patience_spent_ms(const struct patience *p,
-			 const struct patience_spread *s, uint32_t left_ms);
+void caller_timeout_record(struct caller_timeout *p, uint32_t left_ms);
+void caller_timeout_spread_record(struct caller_timeout_spread *s,
+				  const struct caller_timeout *p,
+				  uint32_t left_ms, bool calm);
+double caller_timeout_spent_ms(const struct caller_timeout *p,
+			       const struct caller_timeout_spread *s,
+			       uint32_t left_ms);
 
 #endif
--- a/core/peer_load.c
+++ b/core/peer_load.c
@@ -39,7 +39,7 @@
 	       out->n < PEER_LOAD_MAX) {
 		const struct backend *b = v;
 
-		if (!b->in_flight || service_tells_load(b->service))
+		if (!b->in_flight || service_reports_load(b->service))
 			continue;
 		out->items[out->n++] = (struct peer_load_item){
 			peer_load_hash(b->entry.id), b->in_flight};
--- a/core/place.h
+++ b/core/place.h
@@ -13,7 +13,7 @@
 #include "core/backend.h"
 
 enum {
-	PLACE_ASK_MAX = 4,   /* servers asked at once, at most */
+	PLACE_PROBE_MAX = 4, /* servers asked at once, at most */
 	PLACE_TRIED_MAX = 8, /* servers remembered as used up */
 };
 
@@ -29,17 +29,17 @@
 };
 
 GPtrArray *place_candidates(const struct place_query *q);
-unsigned place_choose(const struct place_query *q, unsigned want,
-		      struct backend **out);
+unsigned place_select_probes(const struct place_query *q, unsigned want,
+			     struct backend **out);
 double place_estimate_ms(const struct backend *b, double work_ms,
 			 int64_t now_ms);
-void place_note_way(struct backend *b, double ms);
-void place_note_offer(struct backend *b, int64_t now_ms);
+void place_record_rtt(struct backend *b, double ms);
+void place_record_load(struct backend *b, int64_t now_ms);
 double place_rank_ms(const struct backend *b, const char *dc,
 		     double estimate_ms, int64_t now_ms);
 struct server_view place_server_view(const struct backend *b, int64_t now_ms);
-bool place_has_room(const struct backend *b, int64_t now_ms);
-bool place_has_spare(const struct backend *b, int64_t now_ms);
-bool place_is_prompt(const struct backend *b, int64_t now_ms);
+bool place_has_capacity(const struct backend *b, int64_t now_ms);
+bool place_has_headroom(const struct backend *b, int64_t now_ms);
+bool place_is_good_enough(const struct backend *b, int64_t now_ms);
 
 #endif
--- a/core/policy.c
+++ b/core/policy.c
@@ -6,7 +6,7 @@
  * Requests that a server has as far as is known here: those it told, or those
  * that the instances together have there.
  */
-static unsigned known_load(const struct backend *b)
+static unsigned known_requests(const struct backend *b)
 {
 	unsigned told = b->load.running + b->load.waiting;
 	unsigned ours = b->in_flight + (unsigned)b->peers_in_flight;
@@ -46,24 +46,24 @@
 }
 
 /* The less loaded of two at random: a stale report draws no crowd. */
-static unsigned pick_two(void *priv, struct backend *const *servers, unsigned n,
-			 GRand *rand)
+static unsigned pick_two_choices(void *priv, struct backend *const *servers,
+				 unsigned n, GRand *rand)
 {
 	unsigned a = pick_random(priv, servers, n, rand);
 	unsigned b = pick_random(priv, servers, n, rand);
 
-	return known_load(servers[a]) <= known_load(servers[b]) ? a : b;
+	return known_requests(servers[a]) <= known_requests(servers[b]) ? a : b;
 }
 
 /* The least loaded; of several one at random. */
-static unsigned pick_known(void *priv, struct backend *const *servers,
-			   unsigned n, GRand *rand)
+static unsigned pick_least_known(void *priv, struct backend *const *servers,
+				 unsigned n, GRand *rand)
 {
 	unsigned best = 0, same = 0;
 
 	for (unsigned i = 0; i < n; i++) {
-		unsigned load = known_load(servers[i]);
-		unsigned least = known_load(servers[best]);
+		unsigned load = known_requests(servers[i]);
+		unsigned least = known_requests(servers[best]);
 
 		if (i == 0 || load < least) {
 			best = i;
@@ -77,8 +77,8 @@
 }
 
 const struct place_policy place_policies[] = {
-	{"load", true, pick_known, NULL},
-	{"p2c", false, pick_two, NULL},
+	{"load", true, pick_least_known, NULL},
+	{"p2c", false, pick_two_choices, NULL},
 	{"least", false, pick_least, NULL},
 	{"rr", false, pick_round_robin, NULL},
 	{"random", false, pick_random, NULL},
--- a/core/retry_after.h
+++ b/core/retry_after.h
@@ -8,14 +8,14 @@
 #include "core/admit.h"
 #include "core/limit_room.h"
 
-enum { RETRY_AFTER_NO_TARGET_MS = 1000 };
+enum { RETRY_AFTER_DEFAULT_MS = 1000 };
 
 double retry_after_s(const struct admit_request *r, int64_t left_ms,
 		     double random);
 double retry_after_resume_s(const struct admit_request *r, int64_t resume_in_ms,
 			    double random);
-double retry_after_turn_s(int64_t *promised_ms, const struct limit_room *room,
+double retry_after_turn_s(int64_t *last_turn_ms, const struct limit_room *room,
 			  unsigned waiting, int64_t left_ms, int64_t now_ms);
-double retry_after_plain_s(double random);
+double retry_after_default_s(double random);
 
 #endif
--- a/core/server_state.c
+++ b/core/server_state.c
@@ -14,7 +14,7 @@
 static guint hash_start(gconstpointer key)
 {
 	const struct server_state *s = key;
-	guint64 born = s->born_ms;
+	guint64 born = s->server_start_ms;
 
 	return g_str_hash(s->id) ^ g_int64_hash(&born);
 }
@@ -23,7 +23,8 @@
 {
 	const struct server_state *x = a, *y = b;
 
-	return x->born_ms == y->born_ms && !strcmp(x->id, y->id);
+	return x->server_start_ms == y->server_start_ms &&
+	       !strcmp(x->id, y->id);
 }
 
 static void free_state(gpointer data)
@@ -44,9 +45,9 @@
 
 /* server_state_find() looks up the state of a lifetime; NULL: there is none. */
 struct server_state *server_state_find(struct server_states *all,
-				       const char *id, uint64_t born_ms)
+				       const char *id, uint64_t server_start_ms)
 {
-	struct server_state key = {.born_ms = born_ms};
+	struct server_state key = {.server_start_ms = server_start_ms};
 
 	g_strlcpy(key.id, id, sizeof(key.id));
 	return g_hash_table_lookup(all->all, &key);
@@ -57,14 +58,14 @@
  * gives it back with server_state_release().
  */
 struct server_state *server_state_get(struct server_states *all, const char *id,
-				      uint64_t born_ms)
+				      uint64_t server_start_ms)
 {
-	struct server_state *s = server_state_find(all, id, born_ms);
+	struct server_state *s = server_state_find(all, id, server_start_ms);
 
 	if (!s) {
 		s = g_new0(struct server_state, 1);
 		g_strlcpy(s->id, id, sizeof(s->id));
-		s->born_ms = born_ms;
+		s->server_start_ms = server_start_ms;
 		s->owner = all;
 		g_hash_table_add(all->all, s);
 	}
--- a/core/server_state.h
+++ b/core/server_state.h
@@ -26,11 +26,11 @@
 struct backend_limit {
 	struct server_limit said;
 	struct limit_share share;
-	double told_per_s;  /* as it was last logged, and told */
-	int64_t tell_ms;    /* the peers are told again then that it stands */
-	unsigned end_tells; /* times that its end is yet to be told */
-	int64_t look_ms;    /* an instance that holds nothing may look then */
-	int64_t granted_ms; /* a send that a peer gave up counts until then */
+	double published_per_s; /* as it was last logged, and told */
+	int64_t next_publish_ms; /* the peers are told again then that it stands */
+	unsigned end_publishes_left; /* times that its end is yet to be told */
+	int64_t next_probe_ms; /* an instance that holds nothing may look then */
+	int64_t borrowed_until_ms; /* a send that a peer gave up counts until then */
 	bool looks; /* it may send one request, to hear whether it ended */
 };
 
@@ -38,19 +38,20 @@
 
 struct server_state {
 	char id[BACKEND_NAME_MAX];
-	uint64_t born_ms; /* distinguishes starts under one id; 0: unknown */
+	uint64_t
+		server_start_ms; /* distinguishes starts under one id; 0: unknown */
 	struct server_states *owner;
 	unsigned refs;
 	bool unlisted;		     /* unreferenced, queued for eviction */
 	bool over;		     /* a later start of the server is known */
 	struct backend_limit *limit; /* NULL: it has never named one */
-	bool was_free;	/* it has answered here without naming a limit */
-	bool limit_bad; /* the last limit was no number; for the log */
+	bool seen_unlimited; /* it has answered here without naming a limit */
+	bool limit_invalid;  /* the last limit was no number; for the log */
 	bool invalid_logged;
-	bool draining;		  /* announced by the server; permanent */
-	unsigned drain_tells;	  /* announcements to peers still due */
-	int64_t drain_tell_ms;	  /* when the next one is */
-	int64_t backoff_until_ms; /* requested by the server; 0: never */
+	bool draining;		       /* announced by the server; permanent */
+	unsigned drain_publishes_left; /* announcements to peers still due */
+	int64_t next_drain_publish_ms; /* when the next one is */
+	int64_t backoff_until_ms;      /* requested by the server; 0: never */
 	int64_t resume_ms; /* backoff_until_ms plus this instance's jitter */
 	bool resuming;	   /* nothing has been answered since the backoff */
 };
@@ -62,9 +63,10 @@
 
 void server_states_init(struct server_states *all);
 struct server_state *server_state_get(struct server_states *all, const char *id,
-				      uint64_t born_ms);
+				      uint64_t server_start_ms);
 struct server_state *server_state_find(struct server_states *all,
-				       const char *id, uint64_t born_ms);
+				       const char *id,
+				       uint64_t server_start_ms);
 void server_state_release(struct server_state *s);
 bool server_state_back_off(struct server_state *s, double backoff_s,
 			   double random, int64_t now_ms);
--- a/member/gossip.c
+++ b/member/gossip.c
@@ -96,7 +96,7 @@
 	msgpack_pack_uint32(pk, e->slots);
 	msgpack_pack_uint8(pk, e->draining);
 	msgpack_pack_uint32(pk, e->warm_up_ms);
-	msgpack_pack_uint64(pk, e->born_ms);
+	msgpack_pack_uint64(pk, e->server_start_ms);
 	msgpack_pack_uint64(pk, e->sequence);
 }
 
@@ -338,7 +338,7 @@
 	msgpack_pack_array(&pk, DRAIN_FIELDS * (size_t)news->n);
 	for (unsigned i = 0; i < news->n; i++) {
 		codec_pack_cstr(&pk, news->items[i].id);
-		msgpack_pack_uint64(&pk, news->items[i].born_ms);
+		msgpack_pack_uint64(&pk, news->items[i].server_start_ms);
 	}
 }
 
--- a/member/gossip_read.c
+++ b/member/gossip_read.c
@@ -106,7 +106,7 @@
 	e->slots = (unsigned)next_uint(&c);
 	e->draining = next_uint(&c) != 0;
 	e->warm_up_ms = (uint32_t)next_uint(&c);
-	e->born_ms = next_uint(&c);
+	e->server_start_ms = next_uint(&c);
 	e->sequence = next_uint(&c);
 	return !c.bad;
 }
@@ -236,7 +236,7 @@
 		struct drain_item *it = &news->items[news->n++];
 
 		next_text(&c, it->id, sizeof(it->id));
-		it->born_ms = next_uint(&c);
+		it->server_start_ms = next_uint(&c);
 	}
 	return !c.bad;
 }
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -424,13 +424,14 @@
 }
 
 /* Server i has started again under its id: the list says so. */
-static inline void bench_restart(struct bench *b, int i, uint64_t born_ms)
+static inline void bench_restart(struct bench *b, int i,
+				 uint64_t server_start_ms)
 {
 	struct backend *known = g_hash_table_lookup(b->traffic.backends.by_id,
 						    b->servers[i].id);
 	struct backend_entry e = known->entry;
 
-	e.born_ms = born_ms;
+	e.server_start_ms = server_start_ms;
 	e.sequence = 0;
 	backend_set_put(&b->traffic.backends, &e, clock_ms());
 }
--- a/tests/servers.h
+++ b/tests/servers.h
@@ -39,26 +39,26 @@
 		s->list[i] = g_hash_table_lookup(s->set.by_id, e.id);
 		s->list[i]->load.slots = slots;
 		s->list[i]->load.slowdown_pct = 100;
-		s->list[i]->state->was_free = true;
+		s->list[i]->state->seen_unlimited = true;
 	}
 	s->service = backend_set_service(&s->set, LSTR("harta"));
 	return s;
 }
 
 /* Answers show that beyond 80% of the slots all takes 1.7 times as long. */
-static inline void servers_teach_knee(struct service *s, unsigned slots)
+static inline void servers_record_knee(struct service *s, unsigned slots)
 {
 	struct work_model w;
 
-	learn_work_init(&w, 180);
+	work_model_init(&w, 180);
 	for (int i = 0; i < 200; i++) {
 		for (unsigned n = 1; n <= slots; n++) {
-			struct server_view v = {.at_work = n,
+			struct server_view v = {.active_requests = n,
 						.slots = slots,
 						.slowdown_pct = 100};
 
-			learn_answer(&s->model, &w, &v,
-				     n > 0.8 * slots ? 102 : 60, 100000);
+			latency_record(&s->model, &w, &v,
+				       n > 0.8 * slots ? 102 : 60, 100000);
 		}
 	}
 }
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -17,83 +17,83 @@
 static void test_takes(void **state)
 {
 	struct admit_request r = {
-		.target_ms = 200, .usual_ms = 60, .long_ms = 75};
+		.target_ms = 200, .median_ms = 60, .p75_ms = 75};
 	struct admit_server fast = {60, 0, true, false},
 			    slow = {240, 0, true, false};
 	struct admit_server full = {60, 0, false, false},
 			    idle = {60, 0, true, true};
 
 	assert_true(admit_can_be_on_time(&r));
-	assert_true(admit_takes(&r, &fast, true));
-	assert_false(admit_takes(&r, &full, false));
+	assert_true(admit_accepts(&r, &fast, true));
+	assert_false(admit_accepts(&r, &full, false));
 	/* It waits for a quick one as long as it can be on time there. */
-	assert_false(admit_takes(&r, &slow, false));
-	assert_true(admit_wait_ms(&r) > 100 && admit_wait_ms(&r) < 140);
-	r.waited_ms = r.spent_ms = admit_wait_ms(&r);
-	assert_false(admit_takes(&r, &slow, false));
-	assert_true(admit_takes(&r, &fast, false));
+	assert_false(admit_accepts(&r, &slow, false));
+	assert_true(admit_max_wait_ms(&r) > 100 && admit_max_wait_ms(&r) < 140);
+	r.waited_ms = r.spent_ms = admit_max_wait_ms(&r);
+	assert_false(admit_accepts(&r, &slow, false));
+	assert_true(admit_accepts(&r, &fast, false));
 	/* A late one takes what there is, unless others need it. */
 	r = (struct admit_request){.target_ms = 200,
-				   .usual_ms = 60,
-				   .long_ms = 75,
+				   .median_ms = 60,
+				   .p75_ms = 75,
 				   .spent_ms = 150};
 	assert_false(admit_can_be_on_time(&r));
-	assert_true(admit_takes(&r, &fast, false));
-	assert_false(admit_takes(&r, &fast, true));
+	assert_true(admit_accepts(&r, &fast, false));
+	assert_false(admit_accepts(&r, &fast, true));
 	/* A slow one would cost the others four starts. */
-	assert_false(admit_takes(&r, &slow, true));
-	assert_false(admit_takes(&r, &slow, false));
-	assert_true(admit_takes(&r, &idle, true));
+	assert_false(admit_accepts(&r, &slow, true));
+	assert_false(admit_accepts(&r, &slow, false));
+	assert_true(admit_accepts(&r, &idle, true));
 	/* Unless it has waited in vain, and there is room enough. */
-	r.waited_ms = admit_wait_ms(&r);
-	assert_true(admit_takes(&r, &(struct admit_server){240, 0, true, true},
-				false));
-	assert_false(admit_takes(&r, &slow, false));
-	r.short_room = true;
-	assert_false(admit_takes(&r, &(struct admit_server){240, 0, true, true},
-				 false));
+	r.waited_ms = admit_max_wait_ms(&r);
+	assert_true(admit_accepts(
+		&r, &(struct admit_server){240, 0, true, true}, false));
+	assert_false(admit_accepts(&r, &slow, false));
+	r.capacity_short = true;
+	assert_false(admit_accepts(
+		&r, &(struct admit_server){240, 0, true, true}, false));
 	/* Where room is short it leaves a last slot to others. */
 	r.waited_ms = 0;
-	assert_false(admit_takes(&r, &fast, false));
-	assert_true(admit_takes(&r, &idle, false));
-	r.short_room = false;
+	assert_false(admit_accepts(&r, &fast, false));
+	assert_true(admit_accepts(&r, &idle, false));
+	r.capacity_short = false;
 	/* Or all are slow. */
-	r.usual_ms = 240;
+	r.median_ms = 240;
 	assert_false(admit_can_be_on_time(&r));
-	assert_true(admit_takes(&r, &slow, false));
-	assert_false(admit_takes(&r, &full, true));
+	assert_true(admit_accepts(&r, &slow, false));
+	assert_false(admit_accepts(&r, &full, true));
 }
 
 /* A second send costs others nothing. */
 static void test_second(void **state)
 {
 	struct admit_request r = {
-		.target_ms = 200, .usual_ms = 60, .long_ms = 75};
+		.target_ms = 200, .median_ms = 60, .p75_ms = 75};
 	struct admit_server idle = {60, 0, true, true},
 			    busy = {60, 0, true, false};
 	struct admit_server slow = {240, 0, true, true};
 
 	r.spent_ms = 100;
-	assert_true(admit_takes_second(&r, &idle, false));
-	assert_false(admit_takes_second(&r, &idle, true));
-	r.short_room = true;
-	assert_false(admit_takes_second(&r, &idle, false));
-	r.short_room = false;
-	assert_false(admit_takes_second(&r, &busy, false));
-	assert_false(admit_takes_second(&r, &slow, false));
+	assert_true(admit_accepts_hedge(&r, &idle, false));
+	assert_false(admit_accepts_hedge(&r, &idle, true));
+	r.capacity_short = true;
+	assert_false(admit_accepts_hedge(&r, &idle, false));
+	r.capacity_short = false;
+	assert_false(admit_accepts_hedge(&r, &busy, false));
+	assert_false(admit_accepts_hedge(&r, &slow, false));
 	r.spent_ms = 141;
-	assert_false(admit_takes_second(&r, &idle, false));
+	assert_false(admit_accepts_hedge(&r, &idle, false));
 }
 
 static void test_come_back(void **state)
 {
 	struct admit_request fresh = {.target_ms = 200,
-				      .usual_ms = 60,
-				      .long_ms = 75,
+				      .median_ms = 60,
+				      .p75_ms = 75,
 				      .spent_ms = 25};
 	struct admit_request late = {.target_ms = 200,
-				     .usual_ms = 60,
-				     .long_ms = 75,
+				     .median_ms = 60,
+				     .p75_ms = 75,
 				     .spent_ms = 180};
 
 	for (int i = 0; i <= 10; i++) {
@@ -130,15 +130,15 @@
 };
 
 /* All callers of the play have the same time. */
-static const struct patience_spread sharp;
+static const struct caller_timeout_spread sharp;
 
 struct play {
 	GRand *rand;
 	struct servers *servers;
 	GArray *requests;
-	struct patience patience;
+	struct caller_timeout caller_timeout;
 	struct work_model work;
-	int64_t pressed_ms, now;
+	int64_t capacity_missed_ms, now;
 	bool admission;
 	double knee, knee_x; /* all slower beyond this share of the slots */
 	int on_time, late, refused;
@@ -161,16 +161,16 @@
 				      const struct play_request *r)
 {
 	double left = (double)(r->born + LIMIT_MS - p->now);
-	double offered = learn_usual_factor(&p->servers->service->model);
+	double offered = latency_typical_factor(&p->servers->service->model);
 
 	return (struct admit_request){
 		.target_ms = 200,
-		.usual_ms = p->work.usual_ms * offered,
-		.long_ms = p->work.long_ms * offered,
-		.spent_ms = p->admission
-				    ? patience_spent_ms(&p->patience, &sharp,
-							(uint32_t)left)
-				    : 0,
+		.median_ms = p->work.median_ms * offered,
+		.p75_ms = p->work.p75_ms * offered,
+		.spent_ms = p->admission ? caller_timeout_spent_ms(
+						   &p->caller_timeout, &sharp,
+						   (uint32_t)left)
+					 : 0,
 		.waited_ms = (double)(p->now - r->placing_since),
 	};
 }
@@ -179,19 +179,19 @@
 static int play_choose(struct play *p, const struct play_request *r)
 {
 	struct admit_request view = play_view(p, r);
-	bool pressed = p->now - p->pressed_ms < 400;
+	bool pressed = p->now - p->capacity_missed_ms < 400;
 	int best = -1;
 	double best_ms = 0;
 
 	for (int i = 0; i < SERVERS; i++) {
 		struct backend *b = p->servers->list[i];
-		double ms = place_estimate_ms(b, p->work.usual_ms, p->now);
-		struct admit_server s = {ms, 0, place_has_room(b, p->now),
-					 place_has_spare(b, p->now)};
+		double ms = place_estimate_ms(b, p->work.median_ms, p->now);
+		struct admit_server s = {ms, 0, place_has_capacity(b, p->now),
+					 place_has_headroom(b, p->now)};
 
-		place_note_offer(b, p->now);
-		bool takes = p->admission ? admit_takes(&view, &s, pressed)
-					  : s.has_room;
+		place_record_load(b, p->now);
+		bool takes = p->admission ? admit_accepts(&view, &s, pressed)
+					  : s.has_capacity;
 
 		if (takes && (best < 0 || ms < best_ms)) {
 			best = i;
@@ -243,8 +243,8 @@
 		return;
 	}
 	if (admit_can_be_on_time(&view))
-		p->pressed_ms = p->now;
-	if (view.waited_ms >= admit_wait_ms(&view))
+		p->capacity_missed_ms = p->now;
+	if (view.waited_ms >= admit_max_wait_ms(&view))
 		play_refuse(p, r);
 }
 
@@ -254,8 +254,8 @@
 	case PLAY_AWAY:
 		if (p->now < r->arrives)
 			return;
-		patience_note(&p->patience,
-			      (uint32_t)(r->born + LIMIT_MS - p->now));
+		caller_timeout_record(&p->caller_timeout,
+				      (uint32_t)(r->born + LIMIT_MS - p->now));
 		r->placing_since = p->now;
 		r->state = PLAY_WAITS;
 		break;
@@ -266,8 +266,8 @@
 		if (p->now < r->ends)
 			return;
 		p->servers->list[r->server]->load.running--;
-		learn_answer(&p->servers->service->model, &p->work, &r->start,
-			     (double)(p->now - r->started), p->now);
+		latency_record(&p->servers->service->model, &p->work, &r->start,
+			       (double)(p->now - r->started), p->now);
 		r->state = PLAY_OVER;
 		if (p->now + WAY_MS - r->born <= 200)
 			p->on_time++;
@@ -285,12 +285,12 @@
 	memset(p, 0, sizeof(*p));
 	p->knee = knee;
 	p->knee_x = knee_x;
-	learn_work_init(&p->work, 200);
+	work_model_init(&p->work, 200);
 	p->rand = g_rand_new_with_seed(seed);
 	p->servers = servers_new(SERVERS, SLOTS);
 	p->requests = g_array_new(FALSE, TRUE, sizeof(struct play_request));
 	p->admission = admission;
-	p->pressed_ms = -1000;
+	p->capacity_missed_ms = -1000;
 	for (p->now = 1; p->now < PLAY_MS; p->now++) {
 		play_noise(p);
 		if (g_rand_double(p->rand) < RATE_S / 1000.0) {
--- a/tests/test_availability.c
+++ b/tests/test_availability.c
@@ -105,7 +105,7 @@
 	assert_int_equal(hold_of(b, SEND_COMMITTED, 60), HOLD_DRAINING);
 	b->state->draining = false;
 	assert_int_equal(hold_of(b, SEND_COMMITTED, 60), HOLD_BACKOFF);
-	e.born_ms = 7;
+	e.server_start_ms = 7;
 	backend_set_put(&s->set, &e, 70);
 	b = g_hash_table_lookup(s->set.by_id, e.id);
 	assert_int_equal(hold_of(b, SEND_COMMITTED, 80), HOLD_NONE);
--- a/tests/test_backend.c
+++ b/tests/test_backend.c
@@ -19,10 +19,11 @@
 	h->ended += ended;
 }
 
-static struct backend_entry entry(uint64_t born_ms, uint64_t sequence)
+static struct backend_entry entry(uint64_t server_start_ms, uint64_t sequence)
 {
-	struct backend_entry e = {
-		.slots = 2, .born_ms = born_ms, .sequence = sequence};
+	struct backend_entry e = {.slots = 2,
+				  .server_start_ms = server_start_ms,
+				  .sequence = sequence};
 
 	g_strlcpy(e.id, "i-1", sizeof(e.id));
 	g_strlcpy(e.service, "harta", sizeof(e.service));
@@ -52,7 +53,7 @@
 	first->trouble = 3;
 	first->drained = true;
 	first->load.running = 2;
-	first->warm_until_ms = 9000;
+	first->warm_up_until_ms = 9000;
 	first->entry.draining = true;
 	e = entry(2000, 0);
 	backend_set_put(&s, &e, 200);
@@ -62,7 +63,7 @@
 	assert_int_equal(find(&s)->in_flight, 0);
 	assert_int_equal(find(&s)->peers_in_flight, 0);
 	assert_int_equal(find(&s)->load.running, 0);
-	assert_int_equal(find(&s)->warm_until_ms, 0);
+	assert_int_equal(find(&s)->warm_up_until_ms, 0);
 	assert_true(find(&s)->trouble == 0);
 	assert_false(find(&s)->drained);
 	assert_false(find(&s)->entry.draining);
@@ -110,12 +111,12 @@
 	struct servers *s = servers_new(1, 4);
 	struct backend *b = s->list[0];
 
-	b->state->was_free = false;
-	assert_true(backend_takes(b, SEND_PRIMARY, 0));
+	b->state->seen_unlimited = false;
+	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
 	b->in_flight = 1;
-	assert_false(backend_takes(b, SEND_PRIMARY, 0));
-	b->state->was_free = true;
-	assert_true(backend_takes(b, SEND_PRIMARY, 0));
+	assert_false(backend_is_available(b, SEND_PRIMARY, 0));
+	b->state->seen_unlimited = true;
+	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
 	servers_free(s);
 }
 
@@ -132,15 +133,15 @@
 	b->state->limit->said =
 		(struct server_limit){.named = true, .per_s = 1};
 	assert_true(backend_is_limited(b));
-	assert_false(backend_takes(b, SEND_PRIMARY, 0));
+	assert_false(backend_is_available(b, SEND_PRIMARY, 0));
 	b->state->limit->looks = true;
-	assert_true(backend_takes(b, SEND_PRIMARY, 0));
+	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
 	b->state->limit->looks = false;
 	limit_share_set(&b->state->limit->share, &part, 0);
-	assert_false(backend_takes(b, SEND_PRIMARY, 900));
-	assert_true(backend_takes(b, SEND_PRIMARY, 1000));
+	assert_false(backend_is_available(b, SEND_PRIMARY, 900));
+	assert_true(backend_is_available(b, SEND_PRIMARY, 1000));
 	b->state->limit->said.named = false;
-	assert_true(backend_takes(b, SEND_PRIMARY, 0));
+	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
 	servers_free(s);
 }
 
--- a/tests/test_backend_copies.c
+++ b/tests/test_backend_copies.c
@@ -14,7 +14,7 @@
 	struct backend_change c = change(0, id, what);
 
 	c.pos = pos;
-	c.entry.born_ms = 5000;
+	c.entry.server_start_ms = 5000;
 	c.entry.sequence = sequence;
 	backend_list_record(l, &c, now);
 }
--- a/tests/test_backend_histories.c
+++ b/tests/test_backend_histories.c
@@ -46,7 +46,7 @@
 		*c = change(0, "", "ready");
 		g_snprintf(c->entry.id, sizeof(c->entry.id), "i-%d-%u", i,
 			   ++lives);
-		c->entry.born_ms = (uint64_t)w->now;
+		c->entry.server_start_ms = (uint64_t)w->now;
 	} else if (c->entry.draining) {
 		c->removed = true;
 	} else {
--- a/tests/test_backend_list.c
+++ b/tests/test_backend_list.c
@@ -70,12 +70,13 @@
 	assert_string_equal(state_of(&s, "a"), "gone");
 }
 
-static void word(struct backend_list *l, uint64_t offset, uint64_t born_ms,
-		 uint64_t sequence, const char *what, int64_t now)
+static void word(struct backend_list *l, uint64_t offset,
+		 uint64_t server_start_ms, uint64_t sequence, const char *what,
+		 int64_t now)
 {
 	struct backend_change c = change(offset, "i-1", what);
 
-	c.entry.born_ms = born_ms;
+	c.entry.server_start_ms = server_start_ms;
 	c.entry.sequence = sequence;
 	backend_list_record(l, &c, now);
 }
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -344,7 +344,7 @@
 
 	for (unsigned i = 0; i < DRAIN_NEWS_MAX; i++) {
 		memset(l.items[i].id, 'a' + (int)i, BACKEND_NAME_MAX - 1);
-		l.items[i].born_ms = UINT64_MAX - i;
+		l.items[i].server_start_ms = UINT64_MAX - i;
 	}
 	gossip_write_drain(&b, &l);
 	assert_true(b.len <= GOSSIP_MAX);
@@ -355,7 +355,8 @@
 	assert_int_equal(m.drain.n, DRAIN_NEWS_MAX);
 	for (unsigned i = 0; i < DRAIN_NEWS_MAX; i++) {
 		assert_string_equal(m.drain.items[i].id, l.items[i].id);
-		assert_true(m.drain.items[i].born_ms == l.items[i].born_ms);
+		assert_true(m.drain.items[i].server_start_ms ==
+			    l.items[i].server_start_ms);
 	}
 	gossip_message_clear(&m);
 	refuse_prefixes(&b);
--- a/tests/test_learn.c
+++ b/tests/test_learn.c
@@ -22,20 +22,22 @@
 static void lesson_init(struct lesson *l, uint32_t target_ms)
 {
 	memset(l, 0, sizeof(*l));
-	learn_work_init(&l->work, target_ms);
+	work_model_init(&l->work, target_ms);
 	l->rand = g_rand_new_with_seed(7);
 	l->now_ms = START_MS;
 }
 
-static struct server_view view(unsigned at_work, unsigned slots, unsigned pct)
+static struct server_view view(unsigned active_requests, unsigned slots,
+			       unsigned pct)
 {
-	return (struct server_view){
-		.at_work = at_work, .slots = slots, .slowdown_pct = pct};
+	return (struct server_view){.active_requests = active_requests,
+				    .slots = slots,
+				    .slowdown_pct = pct};
 }
 
 static double factor(const struct lesson *l, struct server_view v)
 {
-	return learn_factor(&l->model, &v, l->now_ms);
+	return latency_factor(&l->model, &v, l->now_ms);
 }
 
 /* An answer after ms, give or take a third. */
@@ -44,7 +46,7 @@
 	double spread = exp(0.6 * (g_rand_double(l->rand) - 0.5));
 
 	l->now_ms += GAP_MS;
-	learn_answer(&l->model, &l->work, &v, ms * spread, l->now_ms);
+	latency_record(&l->model, &l->work, &v, ms * spread, l->now_ms);
 }
 
 /* A service never seen is expected to be as its servers say. */
@@ -53,13 +55,13 @@
 	struct lesson l;
 
 	lesson_init(&l, 300);
-	assert_true(fabs(l.work.usual_ms - 100) < 1);
+	assert_true(fabs(l.work.median_ms - 100) < 1);
 	assert_true(fabs(factor(&l, view(1, 3, 100)) - 1) < 0.01);
 	assert_true(fabs(factor(&l, view(3, 3, 100)) - 1) < 0.01);
 	assert_true(fabs(factor(&l, view(1, 3, 500)) - 5) < 0.01);
 	assert_true(fabs(factor(&l, view(1, 3, 0)) - 1) < 0.01);
-	assert_int_equal(learn_room(&l.model, 3, l.now_ms), 3);
-	assert_int_equal(learn_room(&l.model, 0, l.now_ms), 0);
+	assert_int_equal(latency_max_concurrency(&l.model, 3, l.now_ms), 3);
+	assert_int_equal(latency_max_concurrency(&l.model, 0, l.now_ms), 0);
 	g_rand_free(l.rand);
 }
 
@@ -73,10 +75,10 @@
 		lesson_init(&l, 300);
 		for (int k = 0; k < 60; k++)
 			answer(&l, view(1, 3, 100), ms);
-		assert_true(l.work.usual_ms > 0.8 * ms);
-		assert_true(l.work.usual_ms < 1.25 * ms);
-		assert_true(l.work.long_ms >= l.work.usual_ms);
-		assert_true(l.work.long_ms < 1.6 * ms);
+		assert_true(l.work.median_ms > 0.8 * ms);
+		assert_true(l.work.median_ms < 1.25 * ms);
+		assert_true(l.work.p75_ms >= l.work.median_ms);
+		assert_true(l.work.p75_ms < 1.6 * ms);
 		g_rand_free(l.rand);
 	}
 }
@@ -98,7 +100,7 @@
 	assert_true(factor(&l, view(2, 3, 100)) > 1.5);
 	assert_true(factor(&l, view(3, 3, 100)) > 1.5);
 	assert_true(factor(&l, view(3, 3, 100)) < 2);
-	assert_int_equal(learn_room(&l.model, 3, l.now_ms), 3);
+	assert_int_equal(latency_max_concurrency(&l.model, 3, l.now_ms), 3);
 	g_rand_free(l.rand);
 }
 
@@ -113,10 +115,10 @@
 
 		answer(&l, view(n, 3, 100), 100.0 * n * n);
 	}
-	assert_int_equal(learn_room(&l.model, 3, l.now_ms), 1);
+	assert_int_equal(latency_max_concurrency(&l.model, 3, l.now_ms), 1);
 	/* It is forgotten, and so it is tried again. */
 	l.now_ms += 300 * 1000;
-	assert_int_equal(learn_room(&l.model, 3, l.now_ms), 3);
+	assert_int_equal(latency_max_concurrency(&l.model, 3, l.now_ms), 3);
 	g_rand_free(l.rand);
 }
 
@@ -141,8 +143,10 @@
 /* New servers that are slower than they say, and such as say it all. */
 static void test_warm(void **state)
 {
-	struct server_view cold = {
-		.at_work = 1, .slots = 3, .slowdown_pct = 100, .warm = true};
+	struct server_view cold = {.active_requests = 1,
+				   .slots = 3,
+				   .slowdown_pct = 100,
+				   .warm = true};
 	struct lesson l;
 
 	lesson_init(&l, 300);
@@ -173,9 +177,9 @@
 	for (int k = 0; k < 4; k++)
 		answer(&l, view(2, 3, 100), 100 * 100);
 	assert_true(factor(&l, view(2, 3, 100)) < 1.3);
-	assert_true(l.work.usual_ms < 130);
+	assert_true(l.work.median_ms < 130);
 	answer(&l, view(2, 3, 100), 0);
-	assert_true(l.work.usual_ms > 80);
+	assert_true(l.work.median_ms > 80);
 	g_rand_free(l.rand);
 }
 
@@ -184,16 +188,16 @@
 {
 	struct service_model m = {0};
 
-	assert_true(learn_usual_factor(&m) < 1.01);
+	assert_true(latency_typical_factor(&m) < 1.01);
 	for (int k = 0; k < 200; k++)
-		learn_offer(&m, k % 4 ? 1 : 5, true);
-	assert_true(learn_usual_factor(&m) < 1.3);
+		latency_record_server(&m, k % 4 ? 1 : 5, true);
+	assert_true(latency_typical_factor(&m) < 1.3);
 	for (int k = 0; k < 100; k++)
-		learn_offer(&m, 12, true);
-	assert_true(learn_usual_factor(&m) > 8);
+		latency_record_server(&m, 12, true);
+	assert_true(latency_typical_factor(&m) > 8);
 	for (int k = 0; k < 60; k++)
-		learn_offer(&m, k % 4 ? 1 : 5, true);
-	assert_true(learn_usual_factor(&m) < 1.5);
+		latency_record_server(&m, k % 4 ? 1 : 5, true);
+	assert_true(latency_typical_factor(&m) < 1.5);
 }
 
 /* Room is short when many have none; a full server now and then is no sign. */
@@ -201,16 +205,16 @@
 {
 	struct service_model m = {0};
 
-	assert_false(learn_is_short(&m));
+	assert_false(latency_capacity_short(&m));
 	for (int k = 0; k < 200; k++)
-		learn_offer(&m, 1, k % 50 != 0);
-	assert_false(learn_is_short(&m));
+		latency_record_server(&m, 1, k % 50 != 0);
+	assert_false(latency_capacity_short(&m));
 	for (int k = 0; k < 20; k++)
-		learn_offer(&m, 1, k % 2 != 0);
-	assert_true(learn_is_short(&m));
+		latency_record_server(&m, 1, k % 2 != 0);
+	assert_true(latency_capacity_short(&m));
 	for (int k = 0; k < 60; k++)
-		learn_offer(&m, 1, true);
-	assert_false(learn_is_short(&m));
+		latency_record_server(&m, 1, true);
+	assert_false(latency_capacity_short(&m));
 }
 
 int main(void)
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -296,7 +296,7 @@
 	assert_true(share->tokens < before - 0.9);
 	/* There is more, but a request of its own callers has just missed some. */
 	assert_true(share->tokens >= 1);
-	backend_of(b, 0)->service->pressed_ms = clock_ms();
+	backend_of(b, 0)->service->capacity_missed_ms = clock_ms();
 	ask_for_one(b);
 	assert_int_equal(b->traffic.counters.limits_given, 1);
 	bench_free(b);
--- a/tests/test_peer_load.c
+++ b/tests/test_peer_load.c
@@ -74,10 +74,10 @@
 
 	s->list[1]->in_flight = 2;
 	/* Servers that tell their load need no telling. */
-	s->service->load_support = LOAD_TOLD;
+	s->service->load_support = LOAD_REPORTED;
 	peer_loads_collect(&s->set, &l);
 	assert_int_equal(l.n, 0);
-	s->service->load_support = LOAD_NOT_TOLD;
+	s->service->load_support = LOAD_NOT_REPORTED;
 	peer_loads_collect(&s->set, &l);
 	assert_int_equal(l.n, 1);
 	assert_int_equal(l.items[0].backend, peer_load_hash("i-1"));
@@ -91,7 +91,7 @@
 	struct load_report load = b->load;
 	unsigned had = b->in_flight, n = 0;
 
-	while (place_has_room(b, now_ms)) {
+	while (place_has_capacity(b, now_ms)) {
 		b->in_flight++;
 		b->load.running++;
 		n++;
@@ -108,16 +108,16 @@
 	int64_t now = 100000;
 	double idle;
 
-	servers_teach_knee(s->service, 4);
-	s->service->load_support = LOAD_NOT_TOLD;
+	servers_record_knee(s->service, 4);
+	s->service->load_support = LOAD_NOT_REPORTED;
 	idle = place_estimate_ms(b, 60, now);
 	assert_int_equal(room_left(b, now), 3);
 	b->in_flight = 1;
 	b->peers_in_flight = 2;
-	assert_false(place_has_room(b, now));
+	assert_false(place_has_capacity(b, now));
 	assert_true(place_estimate_ms(b, 60, now) > 1.6 * idle);
 	/* A report, where there is one, is all that counts. */
-	s->service->load_support = LOAD_TOLD;
+	s->service->load_support = LOAD_REPORTED;
 	assert_int_equal(room_left(b, now), 3);
 	servers_free(s);
 }
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -21,7 +21,7 @@
 	GRand *rand = g_rand_new_with_seed(1);
 	struct servers *s = servers_new(8, 2);
 	struct place_query q = query(s, rand);
-	struct backend *out[PLACE_ASK_MAX], *avoid[] = {s->list[0]};
+	struct backend *out[PLACE_PROBE_MAX], *avoid[] = {s->list[0]};
 
 	/* First the own data centre; those to avoid and leaving ones never. */
 	s->list[2]->entry.draining = true;
@@ -29,15 +29,15 @@
 	q.navoid = 1;
 	q.own_dc_only = true;
 	for (int i = 0; i < 200; i++) {
-		assert_int_equal(place_choose(&q, 2, out), 2);
+		assert_int_equal(place_select_probes(&q, 2, out), 2);
 		assert_true(out[0] == s->list[4] || out[0] == s->list[6]);
 		assert_true(out[1] == s->list[4] || out[1] == s->list[6]);
 		assert_ptr_not_equal(out[0], out[1]);
 	}
-	assert_int_equal(place_choose(&q, 4, out), 2);
+	assert_int_equal(place_select_probes(&q, 4, out), 2);
 	q.own_dc_only = false;
 	for (int i = 0; i < 200; i++) {
-		assert_int_equal(place_choose(&q, 4, out), 4);
+		assert_int_equal(place_select_probes(&q, 4, out), 4);
 		for (int k = 0; k < 4; k++) {
 			assert_ptr_not_equal(out[k], s->list[0]);
 			assert_ptr_not_equal(out[k], s->list[2]);
@@ -50,11 +50,11 @@
 /* Of 1,500 servers asked, how many stand in the own data centre. */
 static int own_asked(const struct place_query *q)
 {
-	struct backend *out[PLACE_ASK_MAX];
+	struct backend *out[PLACE_PROBE_MAX];
 	int own = 0;
 
 	for (int i = 0; i < 500; i++) {
-		assert_int_equal(place_choose(q, 3, out), 3);
+		assert_int_equal(place_select_probes(q, 3, out), 3);
 		for (int k = 0; k < 3; k++)
 			own += !strcmp(out[k]->entry.dc, q->dc);
 	}
@@ -94,13 +94,13 @@
 	GRand *rand = g_rand_new_with_seed(5);
 	struct servers *s = servers_new(10, 2);
 	struct place_query q = query(s, rand);
-	struct backend *out[PLACE_ASK_MAX];
+	struct backend *out[PLACE_PROBE_MAX];
 	int asked = 0, idle;
 
 	for (int i = 0; i < 10; i++)
 		s->list[i]->conns = i < 9 ? &idle : NULL;
 	for (int i = 0; i < 1000; i++) {
-		assert_int_equal(place_choose(&q, 2, out), 2);
+		assert_int_equal(place_select_probes(&q, 2, out), 2);
 		for (int k = 0; k < 2; k++)
 			asked += out[k] == s->list[9];
 	}
@@ -117,23 +117,23 @@
 	GRand *rand = g_rand_new_with_seed(2);
 	struct servers *s = servers_new(4, 2);
 	struct place_query q = query(s, rand);
-	struct backend *out[PLACE_ASK_MAX];
+	struct backend *out[PLACE_PROBE_MAX];
 
 	for (int i = 0; i < 3; i++)
-		outlier_note(s->list[0], 1.0, q.now_ms);
+		outlier_record(s->list[0], 1.0, q.now_ms);
 	for (int i = 0; i < 100; i++) {
-		place_choose(&q, 3, out);
+		place_select_probes(&q, 3, out);
 		for (int k = 0; k < 3; k++)
 			assert_ptr_not_equal(out[k], s->list[0]);
 	}
-	assert_int_equal(place_choose(&q, 4, out), 4);
+	assert_int_equal(place_select_probes(&q, 4, out), 4);
 	assert_ptr_equal(out[3], s->list[0]);
 	/* It is forgiven by itself. */
-	assert_true(outlier_trouble(s->list[0], q.now_ms + 15000) < 0.1);
+	assert_true(outlier_score(s->list[0], q.now_ms + 15000) < 0.1);
 	/* And sooner by good outcomes; never below zero. */
 	for (int i = 0; i < 10; i++)
-		outlier_note(s->list[0], -0.7, q.now_ms);
-	assert_true(outlier_trouble(s->list[0], q.now_ms) == 0);
+		outlier_record(s->list[0], -0.7, q.now_ms);
+	assert_true(outlier_score(s->list[0], q.now_ms) == 0);
 	servers_free(s);
 	g_rand_free(rand);
 }
@@ -143,9 +143,9 @@
 	struct servers *s = servers_new(1, slots);
 	struct backend *b = s->list[0];
 
-	servers_teach_knee(s->service, slots);
+	servers_record_knee(s->service, slots);
 	b->load.slots = slots;
-	while (place_has_room(b, 100000))
+	while (place_has_capacity(b, 100000))
 		b->load.running++;
 	unsigned n = b->load.running;
 
@@ -173,30 +173,30 @@
 	struct backend *b = s->list[0], *far = s->list[1];
 	double base = place_estimate_ms(b, 60, 100000);
 
-	servers_teach_knee(s->service, 2);
+	servers_record_knee(s->service, 2);
 
 	assert_true(base > 59 && base < 61);
 	/* The way counts beside the work, once it is known. */
 	assert_true(place_rank_ms(far, "dc-1", base, 0) < base + 0.1);
 	for (int i = 0; i < 50; i++)
-		place_note_way(far, 6);
+		place_record_rtt(far, 6);
 	assert_true(place_rank_ms(far, "dc-1", base, 0) > base + 5.5);
 	assert_true(place_rank_ms(far, "dc-1", base, 0) < base + 6.5);
 	b->load.slowdown_pct = 400;
 	assert_true(place_estimate_ms(b, 60, 100000) > 3.9 * base);
 	assert_true(place_estimate_ms(far, 60, 100000) <
 		    place_estimate_ms(b, 60, 100000));
-	assert_false(place_is_prompt(b, 100000));
+	assert_false(place_is_good_enough(b, 100000));
 	b->load.slowdown_pct = 100;
-	assert_true(place_is_prompt(b, 100000));
+	assert_true(place_is_good_enough(b, 100000));
 	b->load.running = 1;
-	assert_false(place_is_prompt(b, 100000));
+	assert_false(place_is_good_enough(b, 100000));
 	assert_true(place_estimate_ms(b, 60, 100000) > 1.6 * base);
 	b->load.running = 2;
 	assert_true(place_estimate_ms(b, 60, 100000) > 2 * base);
 	b->load.running = 0;
 	/* A new server's report tells how slow it is: it counts once. */
-	b->warm_until_ms = 100001;
+	b->warm_up_until_ms = 100001;
 	b->load.slowdown_pct = 200;
 	assert_true(place_estimate_ms(b, 60, 100000) > 1.9 * base);
 	assert_true(place_estimate_ms(b, 60, 100000) < 2.1 * base);
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -358,7 +358,7 @@
 
 	pack_entry(&b, 0, SPOIL_NOTHING);
 	assert_int_equal(record_backend(LSTR("i-1"), buf_lstr(&b), &e), 0);
-	assert_int_equal(e.born_ms, 7);
+	assert_int_equal(e.server_start_ms, 7);
 	assert_int_equal(e.sequence, 7);
 	assert_int_equal(e.slots, 7);
 	for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -294,7 +294,7 @@
 	assert_int_equal(
 		backend_set_service(&b->traffic.backends, LSTR("harta"))
 			->load_support,
-		LOAD_TOLD);
+		LOAD_REPORTED);
 	bench_free(b);
 }
 
--- a/tests/test_request_send.c
+++ b/tests/test_request_send.c
@@ -71,7 +71,7 @@
 
 		/* The class usually takes three quarters of its target. */
 		traffic_class(&b->traffic, "harta", BENCH_TARGET_MS)
-			->work.usual_ms = 150;
+			->work.median_ms = 150;
 		c = bench_call(b, "GET", 1000);
 		bench_run_until(b, c);
 		assert_int_equal(c->status, 200);
--- a/tests/test_server_backoff.c
+++ b/tests/test_server_backoff.c
@@ -241,7 +241,8 @@
 	news->n = 2;
 	g_strlcpy(news->items[0].id, "i-0", BACKEND_NAME_MAX);
 	g_strlcpy(news->items[1].id, "i-1", BACKEND_NAME_MAX);
-	news->items[1].born_ms = 9; /* another lifetime than the one here */
+	news->items[1].server_start_ms =
+		9; /* another lifetime than the one here */
 	mailbox_send(&b->traffic.in, TO_TRAFFIC_DRAIN, news);
 	bench_run_ms(b, 5);
 	bench_put(b, 0, false);
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -169,7 +169,7 @@
 		int to;
 
 		b->servers[0].tells_load = b->servers[1].tells_load = false;
-		s->load_support = LOAD_NOT_TOLD;
+		s->load_support = LOAD_NOT_REPORTED;
 		b->traffic.budget_rule.ratio = b->traffic.budget_rule.slack = 0;
 		c = bench_call(b, idempotent ? "GET" : "POST", 1000);
 		while (!backend_of(b, 0)->in_flight &&
--- a/traffic/ask.c
+++ b/traffic/ask.c
@@ -95,14 +95,14 @@
 	struct service *s = a->backend->service;
 
 	if (info->has_load) {
-		s->load_support = LOAD_TOLD;
+		s->load_support = LOAD_REPORTED;
 		a->backend->load = info->load;
 		a->backend->load.at_ms = now_ms;
-		place_note_offer(a->backend, now_ms);
+		place_record_load(a->backend, now_ms);
 		return true;
 	}
 	if (status == 200 && s->load_support == LOAD_UNKNOWN)
-		s->load_support = LOAD_NOT_TOLD;
+		s->load_support = LOAD_NOT_REPORTED;
 	return false;
 }
 
@@ -130,8 +130,8 @@
 	} else {
 		note_down(a->backend, 0, now_ms);
 		if (!a->opened)
-			place_note_way(a->backend,
-				       (double)(now_ms - a->asked_ms));
+			place_record_rtt(a->backend,
+					 (double)(now_ms - a->asked_ms));
 		a->answered = note_report(a, info, m->status, now_ms) &&
 			      a->upstream->http.reusable;
 		if (!a->answered)
@@ -155,7 +155,7 @@
 	 */
 	if (err != -EPIPE && err != -ECONNRESET && err != -ECANCELED) {
 		note_down(a->backend, err, now_ms);
-		outlier_note(a->backend, SILENT_TROUBLE, now_ms);
+		outlier_record(a->backend, SILENT_TROUBLE, now_ms);
 	}
 	ask_over(a, now_ms);
 }
--- a/traffic/drain_news.c
+++ b/traffic/drain_news.c
@@ -45,18 +45,19 @@
 		struct server_state *m = v;
 		struct drain_item *item;
 
-		if (!m->drain_tells)
+		if (!m->drain_publishes_left)
 			continue;
-		if (news.n == DRAIN_NEWS_MAX || now_ms < m->drain_tell_ms) {
+		if (news.n == DRAIN_NEWS_MAX ||
+		    now_ms < m->next_drain_publish_ms) {
 			more = true;
 			continue;
 		}
 		item = &news.items[news.n++];
 		g_strlcpy(item->id, m->id, sizeof(item->id));
-		item->born_ms = m->born_ms;
-		m->drain_tells--;
-		m->drain_tell_ms = now_ms + AGAIN_MS;
-		more = more || m->drain_tells;
+		item->server_start_ms = m->server_start_ms;
+		m->drain_publishes_left--;
+		m->next_drain_publish_ms = now_ms + AGAIN_MS;
+		more = more || m->drain_publishes_left;
 	}
 	if (!news.n)
 		return more;
@@ -90,8 +91,8 @@
 	if (m->draining)
 		return;
 	m->draining = true;
-	m->drain_tells = TELLS;
-	m->drain_tell_ms = 0;
+	m->drain_publishes_left = TELLS;
+	m->next_drain_publish_ms = 0;
 	log_draining(m, "answer", b);
 	if (tell_due(t, clock_ms()))
 		arm(t);
@@ -102,16 +103,16 @@
 {
 	for (unsigned i = 0; i < news->n; i++) {
 		const struct drain_item *it = &news->items[i];
-		struct server_state *m = server_state_get(&t->backends.states,
-							  it->id, it->born_ms);
+		struct server_state *m = server_state_get(
+			&t->backends.states, it->id, it->server_start_ms);
 		const struct backend *b =
 			g_hash_table_lookup(t->backends.by_id, it->id);
 
 		if (!m->draining)
 			log_draining(m, "peer", b && b->state == m ? b : NULL);
 		m->draining = true;
-		if (m->drain_tells)
-			m->drain_tells--;
+		if (m->drain_publishes_left)
+			m->drain_publishes_left--;
 		server_state_release(m);
 	}
 }
@@ -127,10 +128,10 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct server_state *m = ((struct backend *)v)->state;
 
-		if (!m->draining || m->drain_tells)
+		if (!m->draining || m->drain_publishes_left)
 			continue;
-		m->drain_tells = 1;
-		m->drain_tell_ms =
+		m->drain_publishes_left = 1;
+		m->next_drain_publish_ms =
 			now_ms + g_rand_int_range(t->rand, 0, TELL_NEW_MS);
 		arm(t);
 	}
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -11,20 +11,20 @@
 enum { SHORT_MS = 1000 };
 
 /* Whose send it is: this lifetime's own, a peer's, or the one that looks. */
-static enum limit_payer pay(struct backend_limit *l, int64_t now_ms)
+static enum limit_charge pay(struct backend_limit *l, int64_t now_ms)
 {
 	if (limit_share_allows(&l->share, now_ms)) {
 		limit_share_take(&l->share, now_ms);
-		return LIMIT_PAYS_OWN;
+		return LIMIT_CHARGE_OWN;
 	}
 	/* A grant that ran out just now counted when the server was chosen. */
-	if (l->granted_ms) {
-		l->granted_ms = 0;
-		return LIMIT_PAYS_PEER;
+	if (l->borrowed_until_ms) {
+		l->borrowed_until_ms = 0;
+		return LIMIT_CHARGE_PEER;
 	}
 	mp_invariant(l->looks, "a send that no part of the limit pays for");
 	l->looks = false;
-	return LIMIT_PAYS_LOOK;
+	return LIMIT_CHARGE_PROBE;
 }
 
 /* Why a server gets the request, as the rules on limits see it. */
@@ -65,7 +65,7 @@
 {
 	struct backend *b = s->backend;
 
-	s->payer = LIMIT_PAYS_NONE;
+	s->payer = LIMIT_CHARGE_NONE;
 	if (!backend_is_limited(b))
 		return;
 	s->payer = pay(b->state->limit, s->sent_ms);
@@ -75,9 +75,9 @@
 /* limit_sends_ended() says that a send can't reach its server any more. */
 void limit_sends_ended(struct send *s, int64_t now_ms)
 {
-	if (s->payer == LIMIT_PAYS_OWN)
+	if (s->payer == LIMIT_CHARGE_OWN)
 		limit_share_end(&s->backend->state->limit->share, now_ms);
-	s->payer = LIMIT_PAYS_NONE;
+	s->payer = LIMIT_CHARGE_NONE;
 }
 
 static void call_peers(struct traffic *t, const struct limit_call *call)
@@ -152,7 +152,8 @@
 	struct backend *b;
 
 	if (!s || s->waiting.length ||
-	    (s->pressed_ms && now_ms - s->pressed_ms < SHORT_MS))
+	    (s->capacity_missed_ms &&
+	     now_ms - s->capacity_missed_ms < SHORT_MS))
 		return;
 	b = most_to_give(s, now_ms);
 	if (!b)
@@ -178,7 +179,7 @@
 			      now_ms))
 		return;
 	t->counters.limits_granted++;
-	b->state->limit->granted_ms = limit_grant_until_ms(now_ms);
+	b->state->limit->borrowed_until_ms = limit_grant_until_ms(now_ms);
 	request_use_room(t, b);
 }
 
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -54,9 +54,9 @@
 static void log_bad(struct traffic *t, struct backend *b, struct lstr text)
 {
 	t->counters.limits_bad++;
-	if (b->state->limit_bad)
+	if (b->state->limit_invalid)
 		return;
-	b->state->limit_bad = true;
+	b->state->limit_invalid = true;
 	mp_event(EV_LIMIT_BAD, G_LOG_LEVEL_WARNING,
 		 "backend=%s service=%s limit=%.*s; what was known stays in "
 		 "force",
@@ -95,10 +95,10 @@
  */
 static bool differs(const struct backend_limit *l, enum limit_change change)
 {
-	double step = fabs(l->said.per_s - l->told_per_s);
+	double step = fabs(l->said.per_s - l->published_per_s);
 
 	if (change == LIMIT_CHANGED)
-		return step > TOLD_STEP * l->told_per_s;
+		return step > TOLD_STEP * l->published_per_s;
 	return change != LIMIT_SAME;
 }
 
@@ -117,8 +117,8 @@
 		return false;
 	if (!b->state->limit) {
 		b->state->limit = g_new0(struct backend_limit, 1);
-		limit_share_begin(&b->state->limit->share, b->state->was_free,
-				  now_ms);
+		limit_share_begin(&b->state->limit->share,
+				  b->state->seen_unlimited, now_ms);
 	}
 	change = server_limit_hear(&b->state->limit->said, w, now_ms);
 	if (change == LIMIT_SAME)
@@ -127,7 +127,7 @@
 	arm(t, TICK_MS);
 	if (!differs(b->state->limit, change))
 		return false;
-	b->state->limit->told_per_s = b->state->limit->said.per_s;
+	b->state->limit->published_per_s = b->state->limit->said.per_s;
 	log_change(b, change, w, before);
 	return true;
 }
@@ -153,7 +153,7 @@
 {
 	int spread = g_rand_int_range(t->rand, 0, TELL_SPREAD_MS);
 
-	b->state->limit->tell_ms = now_ms + TELL_AGAIN_MS + spread;
+	b->state->limit->next_publish_ms = now_ms + TELL_AGAIN_MS + spread;
 }
 
 /* Adds what is known of b's limit. */
@@ -192,15 +192,15 @@
 		log_bad(t, b, info->limit_text);
 		return;
 	}
-	b->state->limit_bad = false;
-	b->state->was_free =
-		b->state->was_free || (!w.named && source == LIMIT_BY_ANSWER);
+	b->state->limit_invalid = false;
+	b->state->seen_unlimited = b->state->seen_unlimited ||
+				   (!w.named && source == LIMIT_BY_ANSWER);
 	if (!hear(t, b, &w))
 		return;
 	was_told(t, b, w.heard_ms);
 	if (!b->state->limit->said.named) {
-		b->state->limit->end_tells = END_TELLS;
-		b->state->limit->tell_ms = w.heard_ms + END_AGAIN_MS;
+		b->state->limit->end_publishes_left = END_TELLS;
+		b->state->limit->next_publish_ms = w.heard_ms + END_AGAIN_MS;
 	}
 	add_item(&news, b, w.heard_ms);
 	send_news(t, &news);
@@ -272,18 +272,18 @@
 	if (l->share.part.held || !hears_most(t) ||
 	    !server_limit_is_stale(&l->said, now_ms)) {
 		l->looks = false;
-		l->look_ms = 0;
+		l->next_probe_ms = 0;
 		return;
 	}
-	if (l->look_ms == 0)
-		l->look_ms =
+	if (l->next_probe_ms == 0)
+		l->next_probe_ms =
 			now_ms +
 			g_rand_int_range(t->rand, 0,
 					 LOOK_SPREAD_MS *
 						 (int)t->peers.sharers->len);
-	if (now_ms < l->look_ms)
+	if (now_ms < l->next_probe_ms)
 		return;
-	l->look_ms = now_ms + LOOK_AGAIN_MS;
+	l->next_probe_ms = now_ms + LOOK_AGAIN_MS;
 	l->looks = true;
 }
 
@@ -292,9 +292,9 @@
 {
 	bool concerned = backend_is_limited(b)
 				 ? b->state->limit->share.part.held
-				 : b->state->limit->end_tells > 0;
+				 : b->state->limit->end_publishes_left > 0;
 
-	return concerned && now_ms >= b->state->limit->tell_ms;
+	return concerned && now_ms >= b->state->limit->next_publish_ms;
 }
 
 /* It is told now; when it is to be told again. */
@@ -304,8 +304,8 @@
 		was_told(t, b, now_ms);
 		return;
 	}
-	b->state->limit->end_tells--;
-	b->state->limit->tell_ms = now_ms + END_AGAIN_MS;
+	b->state->limit->end_publishes_left--;
+	b->state->limit->next_publish_ms = now_ms + END_AGAIN_MS;
 }
 
 static void on_tick(struct ev_loop *loop, ev_timer *timer, int revents)
@@ -321,8 +321,8 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct backend *b = v;
 
-		if (!b->state->limit ||
-		    (!backend_is_limited(b) && !b->state->limit->end_tells))
+		if (!b->state->limit || (!backend_is_limited(b) &&
+					 !b->state->limit->end_publishes_left))
 			continue;
 		any = true;
 		plan_look(t, b, now_ms);
@@ -353,7 +353,7 @@
 		if (!backend_is_limited(b))
 			continue;
 		set_part(t, b);
-		b->state->limit->tell_ms = 0;
+		b->state->limit->next_publish_ms = 0;
 		arm(t, g_rand_int_range(t->rand, 0, TELL_NEW_MS));
 	}
 }
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -33,7 +33,7 @@
 			   c->name, quantiles[i],
 			   hist_quantile(&c->latency, quantiles[i]));
 	buf_printf(out, "class_work_ms{class=\"%s\"} %.1f\n", c->name,
-		   c->work.usual_ms);
+		   c->work.median_ms);
 }
 
 /* What this instance believes of a server, and how old that is. */
@@ -54,7 +54,7 @@
 		{"slots", l->slots},
 		{"slowdown_pct", l->slowdown_pct},
 		{"load_age_ms", l->at_ms ? (double)(now_ms - l->at_ms) : -1},
-		{"trouble", outlier_trouble(b, now_ms)},
+		{"trouble", outlier_score(b, now_ms)},
 		{"backoff_left_ms", rest > 0 ? (double)rest : 0},
 		{"limit_per_s", limited ? b->state->limit->said.per_s : -1},
 		{"limit_own_per_s",
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -74,15 +74,15 @@
 	int64_t placing =
 		r->placement == PLACE_NONE ? 0 : now_ms - r->placing_since_ms;
 	const struct work_model *work = &r->stats->work;
-	double now = learn_usual_factor(&r->service->model);
+	double now = latency_typical_factor(&r->service->model);
 
 	return (struct admit_request){
 		.target_ms = r->route->target_ms,
 		.spent_ms = r->spent_before_ms + (double)(now_ms - r->start_ms),
-		.usual_ms = work->usual_ms * now,
-		.long_ms = work->long_ms * now,
+		.median_ms = work->median_ms * now,
+		.p75_ms = work->p75_ms * now,
 		.waited_ms = (double)placing,
-		.short_room = learn_is_short(&r->service->model),
+		.capacity_short = latency_capacity_short(&r->service->model),
 	};
 }
 
@@ -120,7 +120,7 @@
 					  &view, resume_ms - now_ms, random)
 				: retry_after_s(&view, left_ms, random);
 	double turn =
-		retry_after_turn_s(&r->service->promised_ms, &room,
+		retry_after_turn_s(&r->service->last_turn_ms, &room,
 				   r->service->waiting.length, left_ms, now_ms);
 
 	r->traffic->trouble_ms = now_ms;
@@ -329,7 +329,7 @@
 		 t->config ? t->config->version : 0, clock_ms() - fresh);
 	exchange_write_refusal_headers(
 		&headers, call->id,
-		sure ? 0 : retry_after_plain_s(g_rand_double(t->rand)));
+		sure ? 0 : retry_after_default_s(g_rand_double(t->rand)));
 	http_conn_reply(c, &(struct http_reply){.status = status,
 						.headers = buf_lstr(&headers)});
 	buf_free(&headers);
@@ -357,8 +357,9 @@
 	struct traffic *t = r->traffic;
 	bool calm = r->start_ms - t->trouble_ms > CALM_MS;
 
-	patience_note(&r->stats->patience, left_ms);
-	patience_spread_note(&t->spread, &r->stats->patience, left_ms, calm);
+	caller_timeout_record(&r->stats->caller_timeout, left_ms);
+	caller_timeout_spread_record(&t->spread, &r->stats->caller_timeout,
+				     left_ms, calm);
 }
 
 /* What all attempts of one request have in common. */
@@ -403,8 +404,8 @@
 	r->untold = !mp_log_routine();
 	if (call->has_time_left) {
 		note_patience(r, left);
-		r->spent_before_ms = patience_spent_ms(&r->stats->patience,
-						       &t->spread, left);
+		r->spent_before_ms = caller_timeout_spent_ms(
+			&r->stats->caller_timeout, &t->spread, left);
 	}
 	left -= reserve;
 	r->due_ms = r->start_ms +
--- a/traffic/request.h
+++ b/traffic/request.h
@@ -57,7 +57,7 @@
 	struct server_view start; /* how the server stood then */
 	bool extra;		  /* beyond the first: from the budget */
 	enum extra_cause cause;	  /* if it is */
-	enum limit_payer payer;	  /* of what it takes of the server's limit */
+	enum limit_charge payer;  /* of what it takes of the server's limit */
 	double estimate_ms;	  /* expected of the server then */
 	struct send_basis basis;
 };
--- a/traffic/request_log.c
+++ b/traffic/request_log.c
@@ -53,7 +53,7 @@
 	s->basis = (struct send_basis){
 		.load = b->load,
 		.load_age_ms = b->load.at_ms ? now_ms - b->load.at_ms : -1,
-		.trouble = outlier_trouble(b, now_ms),
+		.trouble = outlier_score(b, now_ms),
 		.spent_ms = r->spent_before_ms + (double)(now_ms - r->start_ms),
 		.retries_left = request_retries_left(r),
 		.left_ms = r->due_ms - now_ms,
@@ -182,7 +182,7 @@
 		 r->config->version, status, why, r->nsends,
 		 last ? last->backend->entry.id : "-", now_ms - r->start_ms,
 		 last ? now_ms - last->sent_ms : 0, r->asked, r->answered,
-		 r->spent_before_ms, r->stats->patience.limit_ms,
+		 r->spent_before_ms, r->stats->caller_timeout.limit_ms,
 		 retry_s * 1000, r->service->waiting.length,
 		 request_retries_left(r));
 }
--- a/traffic/request_place.c
+++ b/traffic/request_place.c
@@ -84,7 +84,7 @@
 static bool ask_round(struct request *r, int64_t now_ms)
 {
 	struct backend *avoid[REQUEST_ASKS_MAX + REQUEST_SENDS_MAX];
-	struct backend *chosen[PLACE_ASK_MAX];
+	struct backend *chosen[PLACE_PROBE_MAX];
 	struct place_query q = {
 		.service = r->service,
 		.dc = r->traffic->settings->dc,
@@ -96,7 +96,7 @@
 		.rand = r->traffic->rand,
 	};
 	unsigned want = r->round == 0 ? ASK_FIRST : ASK_FURTHER;
-	unsigned n = place_choose(&q, want, chosen);
+	unsigned n = place_select_probes(&q, want, chosen);
 	bool first = r->nasks == 0 && r->waits == 0;
 
 	n = ask_budget_take(&r->traffic->asks, &r->traffic->ask_rule,
@@ -116,8 +116,8 @@
  */
 bool request_is_pressed(const struct request *r, int64_t now_ms)
 {
-	return r->service->pressed_ms &&
-	       now_ms - r->service->pressed_ms < PRESSED_MS;
+	return r->service->capacity_missed_ms &&
+	       now_ms - r->service->capacity_missed_ms < PRESSED_MS;
 }
 
 /* Tells whether the request goes to a server that told its load. */
@@ -125,32 +125,32 @@
 		  double estimate_ms, int64_t now_ms)
 {
 	struct admit_request view = request_view(r, now_ms);
-	bool told = service_tells_load(r->service);
+	bool told = service_reports_load(r->service);
 	struct admit_server s = {
 		.work_ms = estimate_ms,
-		.way_ms = b->way_ms,
-		.has_room = place_has_room(b, now_ms),
-		.has_spare = place_has_spare(b, now_ms),
+		.rtt_ms = b->rtt_ms,
+		.has_capacity = place_has_capacity(b, now_ms),
+		.has_headroom = place_has_headroom(b, now_ms),
 	};
 
-	if (!backend_takes(
+	if (!backend_is_available(
 		    b, r->placement == PLACE_HEDGE ? SEND_HEDGE : SEND_PRIMARY,
 		    now_ms))
 		return false;
 	if (r->placement == PLACE_HEDGE && r->rescue)
-		return admit_takes_rescue(&s, request_is_pressed(r, now_ms));
+		return admit_accepts_rescue(&s, request_is_pressed(r, now_ms));
 	if (r->placement == PLACE_HEDGE && !told) {
 		/*
 		 * The first went to a server of unknown speed, and each keeps a
 		 * slot free anyway.
 		 */
-		s.has_spare = s.has_room;
-		return admit_takes_second(&view, &s, false);
+		s.has_headroom = s.has_capacity;
+		return admit_accepts_hedge(&view, &s, false);
 	}
 	if (r->placement == PLACE_HEDGE)
-		return admit_takes_second(&view, &s,
-					  request_is_pressed(r, now_ms));
-	return admit_takes(&view, &s, request_is_pressed(r, now_ms));
+		return admit_accepts_hedge(&view, &s,
+					   request_is_pressed(r, now_ms));
+	return admit_accepts(&view, &s, request_is_pressed(r, now_ms));
 }
 
 /* Finds the best server that answered and suits; NULL: none. */
@@ -165,7 +165,7 @@
 
 		if (!a->upstream || !a->answered)
 			continue;
-		ms = place_estimate_ms(a->backend, r->stats->work.usual_ms,
+		ms = place_estimate_ms(a->backend, r->stats->work.median_ms,
 				       now_ms);
 		double rank = place_rank_ms(
 			a->backend, r->traffic->settings->dc, ms, now_ms);
@@ -242,7 +242,7 @@
 	for (guint i = 0; i < fit->len; i++) {
 		struct backend *b = fit->pdata[i];
 		double ms =
-			place_estimate_ms(b, r->stats->work.usual_ms, now_ms);
+			place_estimate_ms(b, r->stats->work.median_ms, now_ms);
 		/* A tie-break that is small beside any real difference. */
 		double rank =
 			place_rank_ms(b, r->traffic->settings->dc, ms, now_ms) +
@@ -301,12 +301,12 @@
 		place_barred(r);
 		return;
 	}
-	if (!r->service->policy->asks || !service_tells_load(r->service)) {
+	if (!r->service->policy->asks || !service_reports_load(r->service)) {
 		place_by_policy(r, now_ms);
 		return;
 	}
 	best = best_ask(r, now_ms);
-	if (best && place_is_prompt(best->backend, now_ms)) {
+	if (best && place_is_good_enough(best->backend, now_ms)) {
 		take(r, best);
 		return;
 	}
@@ -361,7 +361,7 @@
 		for (unsigned i = 0; i < n; i++)
 			used = used || avoid[i] == b;
 		double ms =
-			place_estimate_ms(b, r->stats->work.usual_ms, now_ms);
+			place_estimate_ms(b, r->stats->work.median_ms, now_ms);
 
 		if (used || request_is_barred(r) || !takes(r, b, ms, now_ms))
 			continue;
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -60,8 +60,8 @@
 /* Learns from an answer how long work takes, and there. */
 static void learn(struct request *r, const struct send *s, int64_t now_ms)
 {
-	learn_answer(&s->backend->service->model, &r->stats->work, &s->start,
-		     (double)(now_ms - s->sent_ms), now_ms);
+	latency_record(&s->backend->service->model, &r->stats->work, &s->start,
+		       (double)(now_ms - s->sent_ms), now_ms);
 }
 
 /* Goes on after a send that brought no answer for the caller. */
@@ -100,7 +100,7 @@
 static void on_server_error(struct request *r, struct send *s,
 			    struct http_message *m, int64_t now_ms)
 {
-	outlier_note(s->backend, TROUBLE_FAILED, now_ms);
+	outlier_record(s->backend, TROUBLE_FAILED, now_ms);
 	if (r->route->idempotent && request_may_send_again(r)) {
 		http_message_free(m);
 		go_on(r, 502, "server error");
@@ -124,13 +124,13 @@
 
 	/* A server that sheds its load reports none: that is not room. */
 	if (info->has_load && mechanisms.ask && info->backoff != BACKOFF_SET) {
-		s->backend->service->load_support = LOAD_TOLD;
+		s->backend->service->load_support = LOAD_REPORTED;
 		s->backend->load = info->load;
 		s->backend->load.at_ms = now_ms;
 	}
 	end_send(s);
 	upstream_put(u, now_ms);
-	if (place_has_room(s->backend, now_ms))
+	if (place_has_capacity(s->backend, now_ms))
 		request_use_room(r->traffic, s->backend);
 	if (info->not_run) {
 		unsigned status = m->status;
@@ -144,12 +144,12 @@
 	if (m->status / 100 == 2 && !info->sealed) {
 		/* Not the server's own answer, whatever it looks like. */
 		http_message_free(m);
-		outlier_note(s->backend, TROUBLE_BROKEN, now_ms);
+		outlier_record(s->backend, TROUBLE_BROKEN, now_ms);
 		go_on(r, 502, "answer without receipt");
 	} else if (m->status >= 500) {
 		on_server_error(r, s, m, now_ms);
 	} else {
-		outlier_note(s->backend, RELIEF_SERVED, now_ms);
+		outlier_record(s->backend, RELIEF_SERVED, now_ms);
 		learn(r, s, now_ms);
 		request_answer(r, m);
 	}
@@ -205,9 +205,9 @@
 		if (err != -EPROTO)
 			end_check_begin(r->traffic, s->backend, r->digest);
 	}
-	outlier_note(s->backend,
-		     err == -ETIMEDOUT ? TROUBLE_TIMEOUT : TROUBLE_BROKEN,
-		     clock_ms());
+	outlier_record(s->backend,
+		       err == -ETIMEDOUT ? TROUBLE_TIMEOUT : TROUBLE_BROKEN,
+		       clock_ms());
 	end_send(s);
 	if (!sent)
 		r->undenied--;
@@ -240,10 +240,10 @@
 	if (!r->route->idempotent || r->nsends != 1)
 		return 0;
 	if (mechanisms.second)
-		return now_ms + hedge_delay_ms(r->stats->work.usual_ms,
-					       r->route->target_ms,
-					       now_ms - r->start_ms,
-					       service_tells_load(r->service));
+		return now_ms +
+		       hedge_delay_ms(r->stats->work.median_ms,
+				      r->route->target_ms, now_ms - r->start_ms,
+				      service_reports_load(r->service));
 	if (!mechanisms.rescue)
 		return 0;
 	r->rescue = true;
@@ -269,7 +269,7 @@
 			   .sent_ms = now_ms,
 			   .start = place_server_view(b, now_ms),
 			   .estimate_ms = place_estimate_ms(
-				   b, r->stats->work.usual_ms, now_ms)};
+				   b, r->stats->work.median_ms, now_ms)};
 	b->in_flight++;
 	share_changed(r->traffic, b->service);
 	r->undenied++;
--- a/traffic/request_wait.c
+++ b/traffic/request_wait.c
@@ -81,7 +81,7 @@
 {
 	struct admit_request view = request_view(r, now_ms);
 
-	return r->placing_since_ms + (int64_t)admit_wait_ms(&view);
+	return r->placing_since_ms + (int64_t)admit_max_wait_ms(&view);
 }
 
 /* Whether a request with so many before it gets its turn while it may wait. */
@@ -215,7 +215,7 @@
 	int64_t resume_ms = service_resume_ms(r->service, now_ms);
 
 	if (admit_can_be_on_time(&view) && r->placement != PLACE_HEDGE)
-		r->service->pressed_ms = now_ms;
+		r->service->capacity_missed_ms = now_ms;
 	ask_release(r);
 	if (r->placement == PLACE_HEDGE) {
 		request_place_end(r);
--- a/traffic/share.c
+++ b/traffic/share.c
@@ -46,7 +46,7 @@
 /* share_changed() is called when a request went to a server or came back. */
 void share_changed(struct traffic *t, const struct service *s)
 {
-	if (service_tells_load(s) || t->share_pending)
+	if (service_reports_load(s) || t->share_pending)
 		return;
 	t->share_pending = true;
 	arm(t, GATHER_MS);
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -54,7 +54,7 @@
 		return c;
 	c = g_new0(struct class_stats, 1);
 	c->name = g_strdup(name);
-	learn_work_init(&c->work, target_ms);
+	work_model_init(&c->work, target_ms);
 	g_hash_table_insert(t->classes, c->name, c);
 	return c;
 }
--- a/traffic/traffic.h
+++ b/traffic/traffic.h
@@ -23,7 +23,7 @@
 struct class_stats {
 	char *name;
 	struct work_model work; /* how long its requests take */
-	struct patience patience;
+	struct caller_timeout caller_timeout;
 	uint64_t requests, served, late, refused, unknown, failed, gone;
 	uint64_t sends, hedges, retries, broken;
 	struct hist latency; /* of served ones, microseconds */
@@ -63,7 +63,7 @@
 	uint32_t lifetime; /* names this start of the process in logs */
 	char *via;	   /* and to servers; NULL: it isn't named to them */
 	int64_t started_ms;
-	struct patience_spread spread;
+	struct caller_timeout_spread spread;
 	int64_t trouble_ms;  /* a request was last refused or failed then */
 	GHashTable *classes; /* name -> struct class_stats * */
 	struct traffic_counters counters;
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -88,7 +88,7 @@
 {
 	const struct upstream *u = priv;
 
-	return backend_takes(u->backend, SEND_COMMITTED, clock_ms());
+	return backend_is_available(u->backend, SEND_COMMITTED, clock_ms());
 }
 
 /* The connection ended; the owner must not use it any more. */
