--- a/core/availability.c
+++ b/core/availability.c
@@ -29,14 +29,14 @@
 		return HOLD_GONE;
 	if (backend_is_draining(b))
 		return HOLD_DRAINING;
-	if (b->drained)
+	if (b->excluded)
 		return HOLD_EXCLUDED;
 	return backend_is_backing_off(b, now_ms) ? HOLD_BACKOFF : HOLD_NONE;
 }
 
 static bool has_limit_left(struct backend_limit *l, int64_t now_ms)
 {
-	return l->looks || now_ms < l->borrowed_until_ms ||
+	return l->probe_allowed || now_ms < l->borrowed_until_ms ||
 	       limit_share_allows(&l->share, now_ms);
 }
 
@@ -55,7 +55,7 @@
 	if (!s->limit)
 		return !s->seen_unlimited && b->in_flight ? HOLD_UNKNOWN
 							  : HOLD_NONE;
-	if (!s->limit->said.named)
+	if (!s->limit->advertised.named)
 		return HOLD_NONE;
 	/* A limit is reserved for requests without another copy. */
 	return kind == SEND_HEDGE || !has_limit_left(s->limit, now_ms)
--- a/core/backend.c
+++ b/core/backend.c
@@ -69,7 +69,7 @@
 	g_hash_table_remove(s->by_id, b->entry.id);
 	g_ptr_array_remove_fast(b->service->backends, b);
 	b->gone = true;
-	b->ended = b->ended || ended;
+	b->process_ended = b->process_ended || ended;
 	s->on_gone(s->priv, b, ended);
 	backend_unref(b);
 }
@@ -122,7 +122,7 @@
 /* backend_is_limited() tells whether b names a limit, as far as is known. */
 bool backend_is_limited(const struct backend *b)
 {
-	return b->state->limit && b->state->limit->said.named;
+	return b->state->limit && b->state->limit->advertised.named;
 }
 
 static struct backend *add_backend(struct backend_set *s,
@@ -132,7 +132,7 @@
 
 	b->refs = 1;
 	b->entry = *e;
-	b->start = backend_start_hash(e);
+	b->start_hash = backend_start_hash(e);
 	b->state = server_state_get(&s->states, e->id, e->server_start_ms);
 	b->service = backend_set_service(s, lstr0(e->service));
 	g_ptr_array_add(b->service->backends, b);
@@ -159,7 +159,7 @@
 		  memcmp(&b->entry.addr, &e->addr, sizeof(e->addr)))) {
 		bool again = e->server_start_ms != b->entry.server_start_ms;
 
-		b->state->over = again;
+		b->state->superseded = again;
 		take_off(s, b, again);
 		b = NULL;
 	}
--- a/core/backend.h
+++ b/core/backend.h
@@ -52,25 +52,25 @@
 struct backend {
 	struct backend_entry entry;
 	struct service *service;
-	uint32_t start;		    /* backend_start_hash() of its entry */
+	uint32_t start_hash;	    /* backend_start_hash() of its entry */
 	struct server_state *state; /* what this start has said */
 	unsigned refs;
 	bool gone; /* off the list: no new work */
 	int64_t warm_up_until_ms;
 	struct load_report load;
-	double rtt_ms;	     /* there and back, as questions showed */
-	unsigned in_flight;  /* requests of this instance that it has */
-	int peers_in_flight; /* of the others, see core/peer_load.h */
-	uint64_t picked;     /* a running number: when it last was */
-	bool drained;	     /* the configuration gives it no new work */
-	double trouble;	     /* decayed failures, see core/outlier.h */
+	double rtt_ms;	      /* there and back, as questions showed */
+	unsigned in_flight;   /* requests of this instance that it has */
+	int peers_in_flight;  /* of the others, see core/peer_load.h */
+	uint64_t last_picked; /* a running number: when it last was */
+	bool excluded;	      /* the configuration gives it no new work */
+	double failure_score; /* decayed failures, see core/outlier.h */
 	int64_t failure_score_ms;
-	bool shunned; /* what was last logged of it */
-	bool down;    /* the last question failed; for the log */
-	bool ended;   /* its process is known to be gone */
-	void *check;  /* the traffic side finds out whether it has ended */
-	void *conns;  /* the traffic side's idle connections */
-	void *in_use; /* those that wait for an answer or hold one */
+	bool deprioritized; /* what was last logged of it */
+	bool unreachable;   /* the last question failed; for the log */
+	bool process_ended; /* its process is known to be gone */
+	void *end_check;  /* the traffic side finds out whether it has ended */
+	void *idle_conns; /* the traffic side's idle connections */
+	void *busy_conns; /* those that wait for an answer or hold one */
 };
 
 /* Whether a service's backend servers report their load. */
--- a/core/learn.c
+++ b/core/learn.c
@@ -110,7 +110,7 @@
 {
 	unsigned step = load_step(active_requests, slots);
 
-	return step && mechanisms.learn ? value(&m->crowd[step], now_ms) : 1;
+	return step && mechanisms.learn ? value(&m->by_load[step], now_ms) : 1;
 }
 
 static unsigned slowdown_step(unsigned slowdown_pct)
@@ -132,7 +132,7 @@
 	if (!slowdown_pct)
 		return 1;
 	return slowdown_pct / 100.0 *
-	       (step ? value(&m->told[step], now_ms) : 1);
+	       (step ? value(&m->by_slowdown[step], now_ms) : 1);
 }
 
 /* work_model_init() starts a class of which only its target is known. */
@@ -141,7 +141,7 @@
 	w->median_ms = target_ms / TARGET_PER_WORK;
 	w->p75_ms = w->median_ms * P75_TO_MEDIAN;
 	w->mean_ms = w->median_ms;
-	w->answers = 0;
+	w->samples = 0;
 }
 
 /* Moves a quantile: `above` of the answers are to take longer. */
@@ -153,14 +153,14 @@
 /* `sure`: no factor but 1 had to be taken out of ms. */
 static void update_work_model(struct work_model *w, double ms, bool sure)
 {
-	double step = STEP_INITIAL / (1 + STEP_DECAY * w->answers);
+	double step = STEP_INITIAL / (1 + STEP_DECAY * w->samples);
 	double spread = w->p75_ms / w->median_ms;
 
 	if (step < STEP_MIN)
 		step = STEP_MIN;
 	if (!sure)
 		step *= CORRECTED_SAMPLE_WEIGHT;
-	w->answers++;
+	w->samples++;
 	follow(&w->median_ms, ms, 0.5, 2 * step);
 	follow(&spread, ms / w->median_ms, 0.25, 2 * step);
 	w->p75_ms = w->median_ms * fmax(spread, 1);
@@ -178,20 +178,20 @@
 	unsigned slowed = slowdown_step(v->slowdown_pct);
 	double by_told = told(m, v->slowdown_pct, now_ms);
 	double by_crowd = crowd(m, v->active_requests, v->slots, now_ms);
-	double by_warm = v->warm ? value(&m->warm, now_ms) : 1;
+	double by_warm = v->warming_up ? value(&m->warm_up, now_ms) : 1;
 	double all = by_told * by_crowd * by_warm;
 	double ratio;
 
 	ms = fmax(ms, 1);
 	ratio = ms / (w->mean_ms * all);
 	if (crowded)
-		note(&m->crowd[crowded], ratio * by_crowd, now_ms);
+		note(&m->by_load[crowded], ratio * by_crowd, now_ms);
 	if (slowed)
-		note(&m->told[slowed], ratio * by_told * 100 / v->slowdown_pct,
-		     now_ms);
-	if (v->warm)
-		note(&m->warm, ratio * by_warm, now_ms);
-	update_work_model(w, ms / all, !crowded && !slowed && !v->warm);
+		note(&m->by_slowdown[slowed],
+		     ratio * by_told * 100 / v->slowdown_pct, now_ms);
+	if (v->warming_up)
+		note(&m->warm_up, ratio * by_warm, now_ms);
+	update_work_model(w, ms / all, !crowded && !slowed && !v->warming_up);
 }
 
 /*
@@ -206,7 +206,7 @@
 	double f = told(m, v->slowdown_pct, now_ms) *
 		   crowd(m, v->active_requests, v->slots, now_ms);
 
-	return v->warm ? f * value(&m->warm, now_ms) : f;
+	return v->warming_up ? f * value(&m->warm_up, now_ms) : f;
 }
 
 /*
@@ -216,10 +216,11 @@
 void latency_record_server(struct service_model *m, double factor,
 			   bool has_capacity)
 {
-	m->full += FULL_EWMA_WEIGHT * ((has_capacity ? 0 : 1) - m->full);
-	if (m->offer <= 0)
-		m->offer = 1;
-	follow(&m->offer, factor, 1 - TYPICAL_QUANTILE, TYPICAL_STEP);
+	m->full_share +=
+		FULL_EWMA_WEIGHT * ((has_capacity ? 0 : 1) - m->full_share);
+	if (m->typical_factor <= 0)
+		m->typical_factor = 1;
+	follow(&m->typical_factor, factor, 1 - TYPICAL_QUANTILE, TYPICAL_STEP);
 }
 
 /*
@@ -228,7 +229,7 @@
  */
 bool latency_capacity_short(const struct service_model *m)
 {
-	return m->full > FULL_SHARE_SHORT;
+	return m->full_share > FULL_SHARE_SHORT;
 }
 
 /*
@@ -238,7 +239,7 @@
  */
 double latency_typical_factor(const struct service_model *m)
 {
-	return m->offer > 1 ? m->offer : 1;
+	return m->typical_factor > 1 ? m->typical_factor : 1;
 }
 
 /* What n requests at once get done, beside one alone. */
--- a/core/learn.h
+++ b/core/learn.h
@@ -28,12 +28,13 @@
 
 /* The servers of one service. */
 struct service_model {
-	struct decayed_mean crowd[LATENCY_LOAD_STEPS]; /* by requests at work */
 	struct decayed_mean
-		told[LATENCY_SLOWDOWN_STEPS]; /* actual by reported slow-down */
-	struct decayed_mean warm; /* beyond what a new one reports */
-	double offer; /* a quarter of the servers seen offer less; 0: unseen */
-	double full;  /* share of the servers seen that had no room, of late */
+		by_load[LATENCY_LOAD_STEPS]; /* by requests at work */
+	struct decayed_mean by_slowdown
+		[LATENCY_SLOWDOWN_STEPS]; /* actual by reported slow-down */
+	struct decayed_mean warm_up;	  /* beyond what a new one reports */
+	double typical_factor; /* a quarter of the servers seen offer less; 0: unseen */
+	double full_share; /* share of the servers seen that had no room, of late */
 };
 
 /* One class of requests. */
@@ -41,7 +42,7 @@
 	double median_ms; /* median at a quick server with nothing else to do */
 	double p75_ms;	  /* a quarter of its requests take longer */
 	double mean_ms;	  /* geometric mean: what factors are measured by */
-	unsigned answers;
+	unsigned samples;
 };
 
 /* A server as it was, or is, when a request starts there. */
@@ -49,7 +50,7 @@
 	unsigned active_requests; /* requests, this one included */
 	unsigned slots;
 	unsigned slowdown_pct; /* as reported; 0: none */
-	bool warm;	       /* it has said that it is still slow */
+	bool warming_up;       /* it has said that it is still slow */
 };
 
 void work_model_init(struct work_model *w, uint32_t target_ms);
--- a/core/outlier.c
+++ b/core/outlier.c
@@ -31,9 +31,9 @@
 {
 	double age = (double)(now_ms - b->failure_score_ms);
 
-	if (b->trouble <= 0)
+	if (b->failure_score <= 0)
 		return 0;
-	return b->trouble * exp2(-age / OUTLIER_HALF_LIFE_MS);
+	return b->failure_score * exp2(-age / OUTLIER_HALF_LIFE_MS);
 }
 
 /*
@@ -46,12 +46,12 @@
 
 	if (!mechanisms.outliers)
 		return;
-	b->trouble = t < 0 ? 0 : t > OUTLIER_MAX ? OUTLIER_MAX : t;
+	b->failure_score = t < 0 ? 0 : t > OUTLIER_MAX ? OUTLIER_MAX : t;
 	b->failure_score_ms = now_ms;
-	if (outlier_is_deprioritized(b, now_ms) == b->shunned)
+	if (outlier_is_deprioritized(b, now_ms) == b->deprioritized)
 		return;
-	b->shunned = !b->shunned;
-	mp_event(b->shunned ? EV_BACKEND_SHUNNED : EV_BACKEND_TRUSTED,
+	b->deprioritized = !b->deprioritized;
+	mp_event(b->deprioritized ? EV_BACKEND_SHUNNED : EV_BACKEND_TRUSTED,
 		 G_LOG_LEVEL_MESSAGE, "backend=%s service=%s trouble=%.1f",
-		 b->entry.id, b->service->name, b->trouble);
+		 b->entry.id, b->service->name, b->failure_score);
 }
--- a/core/patience.c
+++ b/core/patience.c
@@ -43,11 +43,11 @@
 	uint32_t sorted[CALLER_TIMEOUT_SAMPLES];
 	unsigned n;
 
-	p->seen[p->n++ % CALLER_TIMEOUT_SAMPLES] = left_ms;
+	p->samples[p->n++ % CALLER_TIMEOUT_SAMPLES] = left_ms;
 	n = p->n < CALLER_TIMEOUT_SAMPLES ? p->n : CALLER_TIMEOUT_SAMPLES;
-	memcpy(sorted, p->seen, n * sizeof(*sorted));
+	memcpy(sorted, p->samples, n * sizeof(*sorted));
 	qsort(sorted, n, sizeof(*sorted), compare_down);
-	p->limit_ms = sorted[n * TIMEOUT_RANK / CALLER_TIMEOUT_SAMPLES];
+	p->timeout_ms = sorted[n * TIMEOUT_RANK / CALLER_TIMEOUT_SAMPLES];
 }
 
 static int compare_shares_down(const void *a, const void *b)
@@ -69,16 +69,16 @@
 	double sorted[SPREAD_SAMPLES], missing;
 	unsigned n;
 
-	if (!calm || p->n < SPREAD_SAMPLES_MIN || left_ms >= p->limit_ms)
+	if (!calm || p->n < SPREAD_SAMPLES_MIN || left_ms >= p->timeout_ms)
 		return;
-	missing = 1 - (double)left_ms / p->limit_ms;
+	missing = 1 - (double)left_ms / p->timeout_ms;
 	if (missing > SPREAD_MAX)
 		return;
-	s->seen[s->n++ % SPREAD_SAMPLES] = missing;
+	s->samples[s->n++ % SPREAD_SAMPLES] = missing;
 	n = s->n < SPREAD_SAMPLES ? s->n : SPREAD_SAMPLES;
 	if (n < SPREAD_SAMPLES_MIN)
 		return;
-	memcpy(sorted, s->seen, n * sizeof(*sorted));
+	memcpy(sorted, s->samples, n * sizeof(*sorted));
 	qsort(sorted, n, sizeof(*sorted), compare_shares_down);
 	s->share = sorted[n * SPREAD_RANK / SPREAD_SAMPLES] * SPREAD_MARGIN;
 }
@@ -91,8 +91,8 @@
 			       const struct caller_timeout_spread *s,
 			       uint32_t left_ms)
 {
-	double spent = (double)p->limit_ms - left_ms;
-	double spread = s->share * p->limit_ms;
+	double spent = (double)p->timeout_ms - left_ms;
+	double spread = s->share * p->timeout_ms;
 
 	if (spent < SPENT_MIN_MS || spent < spread || !mechanisms.spent)
 		return 0;
--- a/core/patience.h
+++ b/core/patience.h
@@ -13,15 +13,16 @@
 
 /* The time that callers of a class give a request. */
 struct caller_timeout {
-	uint32_t
-		seen[CALLER_TIMEOUT_SAMPLES]; /* what the last requests named */
+	uint32_t samples
+		[CALLER_TIMEOUT_SAMPLES]; /* what the last requests named */
 	unsigned n;
-	uint32_t limit_ms; /* 0: not known yet */
+	uint32_t timeout_ms; /* 0: not known yet */
 };
 
 /* By how much callers' first attempts differ, of all classes together. */
 struct caller_timeout_spread {
-	double seen[SPREAD_SAMPLES]; /* shares of the limit that were missing */
+	double samples
+		[SPREAD_SAMPLES]; /* shares of the limit that were missing */
 	unsigned n;
 	double share;
 };
--- a/core/place.c
+++ b/core/place.c
@@ -45,7 +45,7 @@
 		.active_requests = l.running + l.waiting + 1,
 		.slots = l.slots,
 		.slowdown_pct = l.slowdown_pct,
-		.warm = b->warm_up_until_ms > now_ms,
+		.warming_up = b->warm_up_until_ms > now_ms,
 	};
 }
 
@@ -110,7 +110,7 @@
 /* Tells whether b may get new work for this query. */
 static bool is_candidate(const struct place_query *q, const struct backend *b)
 {
-	enum send_kind kind = q->second ? SEND_HEDGE : SEND_PRIMARY;
+	enum send_kind kind = q->hedge ? SEND_HEDGE : SEND_PRIMARY;
 
 	if (is_avoided(q, b) || !backend_is_available(b, kind, q->now_ms))
 		return false;
@@ -146,7 +146,7 @@
 		rank += RANK_OTHER_DC;
 	if (b->warm_up_until_ms > q->now_ms)
 		rank += RANK_WARMING_UP;
-	if (!b->conns && !explore && mechanisms.idle_first)
+	if (!b->idle_conns && !explore && mechanisms.idle_first)
 		rank += RANK_NO_CONNECTION;
 	rank += RANK_PER_OWN_REQUEST * b->in_flight;
 	return rank + report_rank(q, b);
--- a/core/place.h
+++ b/core/place.h
@@ -23,7 +23,7 @@
 	struct backend *const *avoid; /* already asked or sent to */
 	unsigned navoid;
 	bool own_dc_only;
-	bool second; /* beside a first send: not to servers in need */
+	bool hedge; /* beside a first send: not to servers in need */
 	int64_t now_ms;
 	GRand *rand;
 };
--- a/core/policy.c
+++ b/core/policy.c
@@ -27,7 +27,7 @@
 	unsigned best = 0;
 
 	for (unsigned i = 1; i < n; i++) {
-		if (servers[i]->picked < servers[best]->picked)
+		if (servers[i]->last_picked < servers[best]->last_picked)
 			best = i;
 	}
 	return best;
--- a/core/policy.h
+++ b/core/policy.h
@@ -10,7 +10,7 @@
 
 struct place_policy {
 	const char *name;
-	bool asks; /* servers that tell their load are asked for it */
+	bool probes_load; /* servers that tell their load are asked for it */
 	/* Returns the index of one of n > 0 servers. */
 	unsigned (*pick)(void *priv, struct backend *const *servers, unsigned n,
 			 GRand *rand);
--- a/core/server_state.c
+++ b/core/server_state.c
@@ -38,7 +38,7 @@
 /* server_states_init() makes an empty table. */
 void server_states_init(struct server_states *all)
 {
-	all->all =
+	all->by_start =
 		g_hash_table_new_full(hash_start, same_start, NULL, free_state);
 	g_queue_init(&all->unlisted);
 }
@@ -50,7 +50,7 @@
 	struct server_state key = {.server_start_ms = server_start_ms};
 
 	g_strlcpy(key.id, id, sizeof(key.id));
-	return g_hash_table_lookup(all->all, &key);
+	return g_hash_table_lookup(all->by_start, &key);
 }
 
 /*
@@ -67,7 +67,7 @@
 		g_strlcpy(s->id, id, sizeof(s->id));
 		s->server_start_ms = server_start_ms;
 		s->owner = all;
-		g_hash_table_add(all->all, s);
+		g_hash_table_add(all->by_start, s);
 	}
 	if (s->unlisted)
 		g_queue_remove(&all->unlisted, s);
@@ -79,10 +79,10 @@
 /* Whether the state matters if the lifetime is listed again. */
 static bool is_in_force(const struct server_state *s)
 {
-	if (s->over)
+	if (s->superseded)
 		return false;
 	return s->draining || s->backoff_until_ms ||
-	       (s->limit && s->limit->said.named);
+	       (s->limit && s->limit->advertised.named);
 }
 
 /* server_state_release() drops a reference. */
@@ -93,13 +93,14 @@
 	if (--s->refs)
 		return;
 	if (!is_in_force(s)) {
-		g_hash_table_remove(all->all, s);
+		g_hash_table_remove(all->by_start, s);
 		return;
 	}
 	s->unlisted = true;
 	g_queue_push_head(&all->unlisted, s);
 	if (all->unlisted.length > SERVER_STATE_UNLISTED_MAX)
-		g_hash_table_remove(all->all, g_queue_pop_tail(&all->unlisted));
+		g_hash_table_remove(all->by_start,
+				    g_queue_pop_tail(&all->unlisted));
 }
 
 static int64_t to_ms(double ms)
--- a/core/server_state.h
+++ b/core/server_state.h
@@ -24,14 +24,14 @@
 
 /* What it takes, by its own word, and this instance's part of that. */
 struct backend_limit {
-	struct server_limit said;
+	struct server_limit advertised;
 	struct limit_share share;
 	double published_per_s; /* as it was last logged, and told */
 	int64_t next_publish_ms; /* the peers are told again then that it stands */
 	unsigned end_publishes_left; /* times that its end is yet to be told */
 	int64_t next_probe_ms; /* an instance that holds nothing may look then */
 	int64_t borrowed_until_ms; /* a send that a peer gave up counts until then */
-	bool looks; /* it may send one request, to hear whether it ended */
+	bool probe_allowed; /* it may send one request, to hear whether it ended */
 };
 
 struct server_states;
@@ -43,7 +43,7 @@
 	struct server_states *owner;
 	unsigned refs;
 	bool unlisted;		     /* unreferenced, queued for eviction */
-	bool over;		     /* a later start of the server is known */
+	bool superseded;	     /* a later start of the server is known */
 	struct backend_limit *limit; /* NULL: it has never named one */
 	bool seen_unlimited; /* it has answered here without naming a limit */
 	bool limit_invalid;  /* the last limit was no number; for the log */
@@ -57,8 +57,8 @@
 };
 
 struct server_states {
-	GHashTable *all; /* struct server_state *, by id and start */
-	GQueue unlisted; /* unreferenced ones, most recent first */
+	GHashTable *by_start; /* struct server_state *, by id and start */
+	GQueue unlisted;      /* unreferenced ones, most recent first */
 };
 
 void server_states_init(struct server_states *all);
--- a/tests/test_availability.c
+++ b/tests/test_availability.c
@@ -30,9 +30,9 @@
 		b->state->draining = true;
 		assert_int_equal(hold_of(b, kinds[i], 100), HOLD_DRAINING);
 		b->state->draining = false;
-		b->drained = true;
+		b->excluded = true;
 		assert_int_equal(hold_of(b, kinds[i], 100), HOLD_EXCLUDED);
-		b->drained = false;
+		b->excluded = false;
 		b->state->resume_ms = 101;
 		assert_int_equal(hold_of(b, kinds[i], 100), HOLD_BACKOFF);
 		assert_int_equal(hold_of(b, kinds[i], 101), HOLD_NONE);
@@ -63,9 +63,9 @@
 	struct backend *b = s->list[0];
 
 	b->state->limit = g_new0(struct backend_limit, 1);
-	b->state->limit->said.named = true;
+	b->state->limit->advertised.named = true;
 	assert_int_equal(hold_of(b, SEND_PRIMARY, 0), HOLD_LIMIT);
-	b->state->limit->looks = true;
+	b->state->limit->probe_allowed = true;
 	assert_int_equal(hold_of(b, SEND_PRIMARY, 0), HOLD_NONE);
 	assert_int_equal(hold_of(b, SEND_HEDGE, 0), HOLD_LIMIT);
 	assert_int_equal(hold_of(b, SEND_COMMITTED, 0), HOLD_NONE);
--- a/tests/test_backend.c
+++ b/tests/test_backend.c
@@ -50,8 +50,8 @@
 	first = backend_ref(find(&s));
 	first->in_flight = 2;
 	first->peers_in_flight = 1;
-	first->trouble = 3;
-	first->drained = true;
+	first->failure_score = 3;
+	first->excluded = true;
 	first->load.running = 2;
 	first->warm_up_until_ms = 9000;
 	first->entry.draining = true;
@@ -64,8 +64,8 @@
 	assert_int_equal(find(&s)->peers_in_flight, 0);
 	assert_int_equal(find(&s)->load.running, 0);
 	assert_int_equal(find(&s)->warm_up_until_ms, 0);
-	assert_true(find(&s)->trouble == 0);
-	assert_false(find(&s)->drained);
+	assert_true(find(&s)->failure_score == 0);
+	assert_false(find(&s)->excluded);
 	assert_false(find(&s)->entry.draining);
 	assert_int_equal(find(&s)->service->backends->len, 1);
 	/* What the earlier start had said comes late and says nothing. */
@@ -127,20 +127,20 @@
 	struct backend *b = s->list[0];
 	struct limit_sharer all[] = {{1, 1}};
 	struct limit_sharers sharers = {all, 1};
-	struct limit_part part = limit_part(1, b->start, &sharers);
+	struct limit_part part = limit_part(1, b->start_hash, &sharers);
 
 	b->state->limit = g_new0(struct backend_limit, 1);
-	b->state->limit->said =
+	b->state->limit->advertised =
 		(struct server_limit){.named = true, .per_s = 1};
 	assert_true(backend_is_limited(b));
 	assert_false(backend_is_available(b, SEND_PRIMARY, 0));
-	b->state->limit->looks = true;
+	b->state->limit->probe_allowed = true;
 	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
-	b->state->limit->looks = false;
+	b->state->limit->probe_allowed = false;
 	limit_share_set(&b->state->limit->share, &part, 0);
 	assert_false(backend_is_available(b, SEND_PRIMARY, 900));
 	assert_true(backend_is_available(b, SEND_PRIMARY, 1000));
-	b->state->limit->said.named = false;
+	b->state->limit->advertised.named = false;
 	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
 	servers_free(s);
 }
--- a/tests/test_learn.c
+++ b/tests/test_learn.c
@@ -146,7 +146,7 @@
 	struct server_view cold = {.active_requests = 1,
 				   .slots = 3,
 				   .slowdown_pct = 100,
-				   .warm = true};
+				   .warming_up = true};
 	struct lesson l;
 
 	lesson_init(&l, 300);
--- a/tests/test_limit_room.c
+++ b/tests/test_limit_room.c
@@ -15,10 +15,10 @@
 	struct limit_sharer self = {1, 1};
 	struct limit_sharers all = {&self, 1};
 	struct backend *b = s->list[i];
-	struct limit_part part = limit_part(per_s, b->start, &all);
+	struct limit_part part = limit_part(per_s, b->start_hash, &all);
 
 	b->state->limit = g_new0(struct backend_limit, 1);
-	b->state->limit->said =
+	b->state->limit->advertised =
 		(struct server_limit){.named = true, .per_s = per_s};
 	limit_share_begin(&b->state->limit->share, saved, 0);
 	limit_share_set(&b->state->limit->share, &part, 0);
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -165,8 +165,8 @@
 	tell_sharers(b, 0);
 	acquaint(b);
 	*news = (struct limit_news){.peer = OTHER, .n = 2};
-	news->items[0] =
-		(struct limit_item){backend_of(b, 0)->start, true, 0, 20, 10};
+	news->items[0] = (struct limit_item){backend_of(b, 0)->start_hash, true,
+					     0, 20, 10};
 	news->items[1] = (struct limit_item){12345, true, 0, 20, 10};
 	mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMITS, news);
 	bench_run_ms(b, 5);
@@ -177,7 +177,7 @@
 	assert_true(b->servers[0].received <= 3);
 	/* The first answer that names none is of after what the peer heard. */
 	b->servers[0].limit = NULL;
-	backend_of(b, 0)->state->limit->looks = true;
+	backend_of(b, 0)->state->limit->probe_allowed = true;
 	call_times(b, 10);
 	assert_false(backend_is_limited(backend_of(b, 0)));
 	bench_free(b);
@@ -256,7 +256,7 @@
 		assert_true(c->open);
 		grant = g_new0(struct limit_call, 1);
 		*grant = (struct limit_call){true, OTHER, 0,
-					     backend_of(b, 0)->start,
+					     backend_of(b, 0)->start_hash,
 					     s->want.serial - !asked};
 		mailbox_send(&b->traffic.in, TO_TRAFFIC_LIMIT_CALL, grant);
 		bench_run_until(b, c);
--- a/tests/test_patience.c
+++ b/tests/test_patience.c
@@ -15,7 +15,7 @@
 	for (int i = 0; i < 300; i++)
 		caller_timeout_record(&p,
 				      i % 25 ? 1180 + (uint32_t)i % 5 : 3600);
-	assert_in_range(p.limit_ms, 1180, 1184);
+	assert_in_range(p.timeout_ms, 1180, 1184);
 	assert_true(caller_timeout_spent_ms(&p, &sharp, 1170) == 0);
 	assert_true(caller_timeout_spent_ms(&p, &sharp, 1000) > 150);
 	assert_true(caller_timeout_spent_ms(&p, &sharp, 3600) == 0);
@@ -24,11 +24,11 @@
 		caller_timeout_record(
 			&p, i % 3 ? (uint32_t)g_rand_int_range(rand, 300, 1100)
 				  : 1180 + (uint32_t)i % 5);
-	assert_in_range(p.limit_ms, 1100, 1184);
+	assert_in_range(p.timeout_ms, 1100, 1184);
 	/* Another limit is learned within some requests. */
 	for (int i = 0; i < 40; i++)
 		caller_timeout_record(&p, 600);
-	assert_int_equal(p.limit_ms, 600);
+	assert_int_equal(p.timeout_ms, 600);
 	g_rand_free(rand);
 }
 
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -98,7 +98,7 @@
 	int asked = 0, idle;
 
 	for (int i = 0; i < 10; i++)
-		s->list[i]->conns = i < 9 ? &idle : NULL;
+		s->list[i]->idle_conns = i < 9 ? &idle : NULL;
 	for (int i = 0; i < 1000; i++) {
 		assert_int_equal(place_select_probes(&q, 2, out), 2);
 		for (int k = 0; k < 2; k++)
@@ -106,7 +106,7 @@
 	}
 	assert_in_range(asked, 5, 60);
 	for (int i = 0; i < 10; i++)
-		s->list[i]->conns = NULL;
+		s->list[i]->idle_conns = NULL;
 	servers_free(s);
 	g_rand_free(rand);
 }
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -40,10 +40,10 @@
 
 				b->entry.draining =
 					g_rand_int_range(rand, 0, 3) == 0;
-				b->drained = g_rand_int_range(rand, 0, 4) == 0;
+				b->excluded = g_rand_int_range(rand, 0, 4) == 0;
 				b->in_flight =
 					(unsigned)g_rand_int_range(rand, 0, 9);
-				eligible += !b->entry.draining && !b->drained;
+				eligible += !b->entry.draining && !b->excluded;
 			}
 			for (int k = 0; k < 50; k++) {
 				struct backend *b = pick(pol, s, rand);
@@ -51,7 +51,7 @@
 				assert_int_equal(b != NULL, eligible > 0);
 				if (b)
 					assert_true(!b->entry.draining &&
-						    !b->drained);
+						    !b->excluded);
 			}
 			servers_free(s);
 		}
@@ -77,7 +77,7 @@
 	for (int i = 0; i < 8; i++) {
 		struct backend *b = pick(rr, s, rand);
 
-		b->picked = ++picks;
+		b->last_picked = ++picks;
 		for (int k = 0; k < 4; k++)
 			seen[k] += s->list[k] == b;
 	}
--- a/tests/test_server_state.c
+++ b/tests/test_server_state.c
@@ -13,7 +13,7 @@
 
 static int end(void **state)
 {
-	g_hash_table_unref(all.all);
+	g_hash_table_unref(all.by_start);
 	g_queue_clear(&all.unlisted);
 	return 0;
 }
@@ -29,7 +29,7 @@
 	assert_null(server_state_find(&all, "i-2", 5));
 	assert_ptr_equal(server_state_get(&all, "i-1", 5), m);
 	assert_int_equal(all.unlisted.length, 0);
-	m->over = true;
+	m->superseded = true;
 	server_state_release(m);
 	assert_null(server_state_find(&all, "i-1", 5));
 }
@@ -37,7 +37,7 @@
 static void test_nothing_said_is_not_kept(void **state)
 {
 	server_state_release(server_state_get(&all, "i-1", 0));
-	assert_int_equal(g_hash_table_size(all.all), 0);
+	assert_int_equal(g_hash_table_size(all.by_start), 0);
 }
 
 static void test_unlisted_are_bounded(void **state)
@@ -52,7 +52,8 @@
 		m->draining = true;
 		server_state_release(m);
 	}
-	assert_int_equal(g_hash_table_size(all.all), SERVER_STATE_UNLISTED_MAX);
+	assert_int_equal(g_hash_table_size(all.by_start),
+			 SERVER_STATE_UNLISTED_MAX);
 	assert_null(server_state_find(&all, "i-0", 0));
 	assert_non_null(server_state_find(&all, "i-1", 0));
 }
@@ -98,7 +99,7 @@
 		late = m->resume_ms - m->backoff_until_ms;
 		assert_in_range(late, 0, BACKOFF_MS / 4 + 1);
 		in_window[late / WINDOW_MS]++;
-		m->over = true;
+		m->superseded = true;
 		server_state_release(m);
 	}
 	for (size_t i = 0; i < G_N_ELEMENTS(in_window); i++)
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -91,7 +91,7 @@
 	upstream_drop(u);
 	bench_run_ms(b, 20);
 	assert_int_equal(b->servers[0].running, 0);
-	assert_null(backend_of(b, 0)->in_use);
+	assert_null(backend_of(b, 0)->busy_conns);
 	bench_free(b);
 }
 
--- a/traffic/ask.c
+++ b/traffic/ask.c
@@ -60,9 +60,9 @@
 /* Logs the first question that b doesn't answer, and the next that it does. */
 static void note_down(struct backend *b, int err, int64_t now_ms)
 {
-	if (b->down == (err != 0))
+	if (b->unreachable == (err != 0))
 		return;
-	b->down = err != 0;
+	b->unreachable = err != 0;
 	if (err)
 		mp_event(EV_BACKEND_DOWN, G_LOG_LEVEL_MESSAGE,
 			 "backend=%s service=%s err=%s "
--- a/traffic/drain_news.c
+++ b/traffic/drain_news.c
@@ -40,7 +40,7 @@
 	GHashTableIter it;
 	gpointer v;
 
-	g_hash_table_iter_init(&it, t->backends.states.all);
+	g_hash_table_iter_init(&it, t->backends.states.by_start);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct server_state *m = v;
 		struct drain_item *item;
--- a/traffic/end_check.c
+++ b/traffic/end_check.c
@@ -76,12 +76,12 @@
 
 	ev_timer_stop(t->loop, &c->again);
 	http_client_close(&c->http);
-	b->ended = b->ended || ended;
+	b->process_ended = b->process_ended || ended;
 	log_end(b, c->digests->len, outcome, why, clock_ms() - c->since_ms);
 	t->counters.ends_seen += ended;
 	for (guint i = 0; ended && i < c->digests->len; i++)
 		note_end(t, b, g_array_index(c->digests, uint64_t, i));
-	b->check = NULL;
+	b->end_check = NULL;
 	g_array_unref(c->digests);
 	backend_unref(b);
 	g_free(c);
@@ -228,18 +228,18 @@
  */
 void end_check_begin(struct traffic *t, struct backend *b, uint64_t digest)
 {
-	struct end_check *c = b->check;
+	struct end_check *c = b->end_check;
 
 	if (!mechanisms.quarantine || backend_is_draining(b))
 		return;
-	if (b->ended) {
+	if (b->process_ended) {
 		note_end(t, b, digest);
 		return;
 	}
 	if (b->gone)
 		return;
 	if (!c)
-		c = b->check = begin(t, b);
+		c = b->end_check = begin(t, b);
 	if (!c) {
 		log_end(b, 1, "unknown", "it can't be asked", 0);
 		return;
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -22,8 +22,9 @@
 		l->borrowed_until_ms = 0;
 		return LIMIT_CHARGE_PEER;
 	}
-	mp_invariant(l->looks, "a send that no part of the limit pays for");
-	l->looks = false;
+	mp_invariant(l->probe_allowed,
+		     "a send that no part of the limit pays for");
+	l->probe_allowed = false;
 	return LIMIT_CHARGE_PROBE;
 }
 
@@ -50,9 +51,9 @@
 		 "age_ms=%" G_GINT64_FORMAT " sharers=%u own_per_s=%.3f "
 		 "left=%.2f out=%u",
 		 (int)r->call.id.len, r->call.id.ptr, s->backend->entry.id,
-		 s->backend->service->name, l->said.per_s, cause_name(s),
-		 payers[s->payer], s->sent_ms - l->said.since_ms, t->lifetime,
-		 s->sent_ms - t->started_ms,
+		 s->backend->service->name, l->advertised.per_s, cause_name(s),
+		 payers[s->payer], s->sent_ms - l->advertised.since_ms,
+		 t->lifetime, s->sent_ms - t->started_ms,
 		 t->peers.sharers ? t->peers.sharers->len : 0,
 		 l->share.part.rate_s, l->share.tokens, l->share.out);
 }
@@ -164,7 +165,7 @@
 	mp_event(EV_LIMIT_GIVEN, G_LOG_LEVEL_INFO,
 		 "backend=%s service=%s peer_id=%08x left=%.2f", b->entry.id,
 		 s->name, question->from, b->state->limit->share.tokens);
-	grant.what = b->start;
+	grant.what = b->start_hash;
 	call_peers(t, &grant);
 }
 
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -45,8 +45,9 @@
 		 "asked_ago_ms=%" G_GINT64_FORMAT
 		 " heard_ago_ms=%" G_GINT64_FORMAT
 		 " own_per_s=%.3f own_depth=%.2f",
-		 b->entry.id, b->service->name, b->state->limit->said.per_s,
-		 before, limit_source_name(w->source), clock_ms() - w->asked_ms,
+		 b->entry.id, b->service->name,
+		 b->state->limit->advertised.per_s, before,
+		 limit_source_name(w->source), clock_ms() - w->asked_ms,
 		 clock_ms() - w->heard_ms, p->rate_s, p->depth);
 }
 
@@ -75,7 +76,8 @@
 		sharers = (struct limit_sharers){
 			(const struct limit_sharer *)(void *)known->data,
 			known->len};
-	part = limit_part(b->state->limit->said.per_s, b->start, &sharers);
+	part = limit_part(b->state->limit->advertised.per_s, b->start_hash,
+			  &sharers);
 	limit_share_set(&b->state->limit->share, &part, clock_ms());
 }
 
@@ -95,7 +97,7 @@
  */
 static bool differs(const struct backend_limit *l, enum limit_change change)
 {
-	double step = fabs(l->said.per_s - l->published_per_s);
+	double step = fabs(l->advertised.per_s - l->published_per_s);
 
 	if (change == LIMIT_CHANGED)
 		return step > TOLD_STEP * l->published_per_s;
@@ -110,7 +112,7 @@
 		 const struct limit_word *w)
 {
 	int64_t now_ms = clock_ms();
-	double before = b->state->limit ? b->state->limit->said.per_s : 0;
+	double before = b->state->limit ? b->state->limit->advertised.per_s : 0;
 	enum limit_change change;
 
 	if (!b->state->limit && !w->named)
@@ -120,14 +122,14 @@
 		limit_share_begin(&b->state->limit->share,
 				  b->state->seen_unlimited, now_ms);
 	}
-	change = server_limit_hear(&b->state->limit->said, w, now_ms);
+	change = server_limit_hear(&b->state->limit->advertised, w, now_ms);
 	if (change == LIMIT_SAME)
 		return false;
 	set_part(t, b);
 	arm(t, TICK_MS);
 	if (!differs(b->state->limit, change))
 		return false;
-	b->state->limit->published_per_s = b->state->limit->said.per_s;
+	b->state->limit->published_per_s = b->state->limit->advertised.per_s;
 	log_change(b, change, w, before);
 	return true;
 }
@@ -160,10 +162,10 @@
 static void add_item(struct limit_news *news, const struct backend *b,
 		     int64_t now_ms)
 {
-	const struct server_limit *l = &b->state->limit->said;
+	const struct server_limit *l = &b->state->limit->advertised;
 
 	news->items[news->n++] = (struct limit_item){
-		.backend = b->start,
+		.backend = b->start_hash,
 		.named = l->named,
 		.per_s = l->per_s,
 		.asked_ago_ms = age_ms(l->asked_ms, now_ms),
@@ -198,7 +200,7 @@
 	if (!hear(t, b, &w))
 		return;
 	was_told(t, b, w.heard_ms);
-	if (!b->state->limit->said.named) {
+	if (!b->state->limit->advertised.named) {
 		b->state->limit->end_publishes_left = END_TELLS;
 		b->state->limit->next_publish_ms = w.heard_ms + END_AGAIN_MS;
 	}
@@ -216,7 +218,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct backend *b = v;
 
-		if (b->start == start)
+		if (b->start_hash == start)
 			return b;
 	}
 	return NULL;
@@ -270,8 +272,8 @@
 	struct backend_limit *l = b->state->limit;
 
 	if (l->share.part.held || !hears_most(t) ||
-	    !server_limit_is_stale(&l->said, now_ms)) {
-		l->looks = false;
+	    !server_limit_is_stale(&l->advertised, now_ms)) {
+		l->probe_allowed = false;
 		l->next_probe_ms = 0;
 		return;
 	}
@@ -284,7 +286,7 @@
 	if (now_ms < l->next_probe_ms)
 		return;
 	l->next_probe_ms = now_ms + LOOK_AGAIN_MS;
-	l->looks = true;
+	l->probe_allowed = true;
 }
 
 /* Whether this instance is to tell the others once more how b's limit stands. */
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -47,7 +47,7 @@
 		const char *name;
 		double value;
 	} gauges[] = {
-		{"draining", backend_is_draining(b) || b->drained},
+		{"draining", backend_is_draining(b) || b->excluded},
 		{"in_flight", b->in_flight},
 		{"running", l->running},
 		{"waiting", l->waiting},
@@ -56,7 +56,8 @@
 		{"load_age_ms", l->at_ms ? (double)(now_ms - l->at_ms) : -1},
 		{"trouble", outlier_score(b, now_ms)},
 		{"backoff_left_ms", rest > 0 ? (double)rest : 0},
-		{"limit_per_s", limited ? b->state->limit->said.per_s : -1},
+		{"limit_per_s",
+		 limited ? b->state->limit->advertised.per_s : -1},
 		{"limit_own_per_s",
 		 limited ? b->state->limit->share.part.rate_s : -1},
 	};
--- a/traffic/request_log.c
+++ b/traffic/request_log.c
@@ -182,7 +182,7 @@
 		 r->config->version, status, why, r->nsends,
 		 last ? last->backend->entry.id : "-", now_ms - r->start_ms,
 		 last ? now_ms - last->sent_ms : 0, r->asked, r->answered,
-		 r->spent_before_ms, r->stats->caller_timeout.limit_ms,
+		 r->spent_before_ms, r->stats->caller_timeout.timeout_ms,
 		 retry_s * 1000, r->service->waiting.length,
 		 request_retries_left(r));
 }
--- a/traffic/request_place.c
+++ b/traffic/request_place.c
@@ -91,7 +91,7 @@
 		.avoid = avoid,
 		.navoid = avoided(r, avoid),
 		.own_dc_only = r->round == 0,
-		.second = r->placement == PLACE_HEDGE,
+		.hedge = r->placement == PLACE_HEDGE,
 		.now_ms = now_ms,
 		.rand = r->traffic->rand,
 	};
@@ -207,7 +207,7 @@
 	struct place_query q = {.service = r->service,
 				.avoid = avoid,
 				.navoid = avoided(r, avoid),
-				.second = r->placement == PLACE_HEDGE,
+				.hedge = r->placement == PLACE_HEDGE,
 				.now_ms = clock_ms()};
 
 	return place_candidates(&q);
@@ -224,7 +224,7 @@
 		b = fit->pdata[p->pick(p->priv, (struct backend **)fit->pdata,
 				       fit->len, r->traffic->rand)];
 	if (b)
-		b->picked = ++r->traffic->picks;
+		b->last_picked = ++r->traffic->picks;
 	g_ptr_array_unref(fit);
 	return b;
 }
@@ -266,8 +266,8 @@
 	struct upstream *u;
 
 	ask_release(r);
-	b = r->service->policy->asks ? pick_unreported(r, now_ms)
-				     : pick_by_policy(r);
+	b = r->service->policy->probes_load ? pick_unreported(r, now_ms)
+					    : pick_by_policy(r);
 	u = b ? upstream_get(r->traffic, b, since) : NULL;
 	if (!u) {
 		request_wait(r, now_ms);
@@ -301,7 +301,8 @@
 		place_barred(r);
 		return;
 	}
-	if (!r->service->policy->asks || !service_reports_load(r->service)) {
+	if (!r->service->policy->probes_load ||
+	    !service_reports_load(r->service)) {
 		place_by_policy(r, now_ms);
 		return;
 	}
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -178,7 +178,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct backend *b = v;
 
-		b->drained = config_drains(t->config, b->entry.id);
+		b->excluded = config_drains(t->config, b->entry.id);
 	}
 }
 
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -28,7 +28,8 @@
 /* Takes u out of its server's list, of idle ones or those in use. */
 static void unlink_upstream(struct upstream *u)
 {
-	void **list = u->idle ? &u->backend->conns : &u->backend->in_use;
+	void **list =
+		u->idle ? &u->backend->idle_conns : &u->backend->busy_conns;
 	struct upstream **p = (struct upstream **)list;
 
 	while (*p && *p != u)
@@ -40,8 +41,8 @@
 static void use(struct upstream *u)
 {
 	u->idle = false;
-	u->next = u->backend->in_use;
-	u->backend->in_use = u;
+	u->next = u->backend->busy_conns;
+	u->backend->busy_conns = u;
 }
 
 static void release(struct upstream *u)
@@ -132,7 +133,7 @@
 struct upstream *upstream_get(struct traffic *t, struct backend *b,
 			      int64_t idle_since_ms)
 {
-	struct upstream *u = b->conns;
+	struct upstream *u = b->idle_conns;
 
 	if (!u || u->used_ms < idle_since_ms)
 		return open_new(t, b);
@@ -182,8 +183,8 @@
 	u->owner = NULL;
 	u->used_ms = now_ms;
 	u->idle = true;
-	u->next = u->backend->conns;
-	u->backend->conns = u;
+	u->next = u->backend->idle_conns;
+	u->backend->idle_conns = u;
 }
 
 static enum http_verdict detached_judge(void *owner,
@@ -218,7 +219,7 @@
 /* upstream_drop_idle() closes the idle connections to b. */
 void upstream_drop_idle(struct backend *b)
 {
-	for (struct upstream *u = b->conns, *next; u; u = next) {
+	for (struct upstream *u = b->idle_conns, *next; u; u = next) {
 		next = u->next;
 		upstream_drop(u);
 	}
@@ -234,10 +235,10 @@
 
 	backend_ref(b);
 	upstream_drop_idle(b);
-	while ((u = b->in_use)) {
+	while ((u = b->busy_conns)) {
 		bool sent = u->http.sent;
 
-		b->in_use = u->next;
+		b->busy_conns = u->next;
 		http_client_close(&u->http);
 		on_failed(u, -ECONNRESET, sent);
 	}
