--- a/core/backend.h
+++ b/core/backend.h
@@ -13,7 +13,7 @@
 #include <glib.h>
 
 #include "core/budget.h"
-#include "core/learn.h"
+#include "core/latency_model.h"
 #include "core/limit_want.h"
 #include "core/server_state.h"
 #include "misc/lstr.h"
--- a/core/patience.c
+++ b/core/caller_timeout.c
@@ -2,7 +2,7 @@
 #include <string.h>
 
 #include "core/mechanisms.h"
-#include "core/patience.h"
+#include "core/caller_timeout.h"
 
 /*
  * First attempts all name nearly the same time, later ones what is left of
--- a/core/patience.h
+++ b/core/caller_timeout.h
@@ -3,8 +3,8 @@
  * the time that they still wait, not the time that they had, so that is
  * worked out from what the others of the class name.
  */
-#ifndef MP_CORE_PATIENCE_H
-#define MP_CORE_PATIENCE_H
+#ifndef MP_CORE_CALLER_TIMEOUT_H
+#define MP_CORE_CALLER_TIMEOUT_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/core/learn.c
+++ b/core/latency_model.c
@@ -1,6 +1,6 @@
 #include <math.h>
 
-#include "core/learn.h"
+#include "core/latency_model.h"
 #include "core/mechanisms.h"
 
 /*
--- a/core/learn.h
+++ b/core/latency_model.h
@@ -9,8 +9,8 @@
  * moves a decision little and not for long. A service never seen is expected
  * to be as its servers say.
  */
-#ifndef MP_CORE_LEARN_H
-#define MP_CORE_LEARN_H
+#ifndef MP_CORE_LATENCY_MODEL_H
+#define MP_CORE_LATENCY_MODEL_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/tests/test_admit.c
+++ b/tests/test_admit.c
@@ -9,7 +9,7 @@
 
 #include "core/admit.h"
 #include "core/mechanisms.h"
-#include "core/patience.h"
+#include "core/caller_timeout.h"
 #include "core/place.h"
 #include "core/retry_after.h"
 #include "tests/servers.h"
--- a/tests/test_patience.c
+++ b/tests/test_caller_timeout.c
@@ -3,7 +3,7 @@
 
 #include <glib.h>
 
-#include "core/patience.h"
+#include "core/caller_timeout.h"
 
 static void test_patience(void **state)
 {
--- a/tests/test_learn.c
+++ b/tests/test_latency_model.c
@@ -8,7 +8,7 @@
 
 #include <glib.h>
 
-#include "core/learn.h"
+#include "core/latency_model.h"
 
 enum { START_MS = 1000, GAP_MS = 50 };
 
--- a/traffic/traffic.h
+++ b/traffic/traffic.h
@@ -14,7 +14,7 @@
 #include "core/config.h"
 #include "core/dedup.h"
 #include "core/limit_news.h"
-#include "core/patience.h"
+#include "core/caller_timeout.h"
 #include "core/quarantine.h"
 #include "http/server.h"
 #include "misc/hist.h"
