--- a/core/admit.c
+++ b/core/admit.c
@@ -2,25 +2,29 @@
 #include "core/mechanisms.h"
 
 /*
- * A start that takes more than this many times what the service's servers
- * usually offer is dear: it costs others two starts. Speeds differ by less
- * from request to request (a third), and by more where a server is slow.
+ * A server that takes more than this many times the typical service time is
+ * slow: a request there uses the capacity of two elsewhere. Service times of
+ * requests vary by a third, less than this; slow servers exceed it.
  */
 static const double SLOW_SERVER_FACTOR = 2;
 
-/* A returning caller may wait at least this share of the target for room. */
+/* A retry may wait for capacity for at least this share of the target. */
 static const double MIN_WAIT_SHARE = 0.1;
 
-/* admit_can_be_on_time() tells whether a server as most are would do. */
+/*
+ * admit_can_be_on_time() returns whether the request would meet its target if
+ * it started now on a server of typical speed.
+ */
 bool admit_can_be_on_time(const struct admit_request *r)
 {
 	return r->spent_ms + r->median_ms <= r->target_ms;
 }
 
 /*
- * admit_max_wait_ms() says how long a request may look for room in all: as long as
- * a caller's first attempt could and still be on time at a quick server, three
- * times in four. Callers that are sent away at once are refused more often.
+ * admit_max_wait_ms() returns how long a request may wait for capacity in
+ * total: as long as a first attempt can wait and still meet the target in
+ * three of four cases. Refusing callers without a wait makes them retry and be
+ * refused more often.
  */
 double admit_max_wait_ms(const struct admit_request *r)
 {
@@ -33,7 +37,7 @@
 		       : r->target_ms * MIN_WAIT_SHARE;
 }
 
-/* Tells whether a start there takes the time of several elsewhere. */
+/* Returns whether the request would use the capacity of several elsewhere. */
 static bool is_slow_server(const struct admit_request *r,
 			   const struct admit_server *s)
 {
@@ -41,9 +45,9 @@
 }
 
 /*
- * A slow server is better than none where nobody else wants its slot: it has
- * room to spare, as others have, and the request has waited for a quick one as
- * long as it may. Where room is short such starts cost others theirs.
+ * Returns whether a late request may start on a slow server. It may only if no
+ * other request needs the slot: the server has headroom, capacity isn't short,
+ * and the request has waited for a faster server as long as it may.
  */
 static bool accepts_slow_server(const struct admit_request *r,
 				const struct admit_server *s)
@@ -53,20 +57,24 @@
 }
 
 /*
- * admit_accepts() decides whether a request goes to a server. `pressed`: other
- * requests of the service, which could be on time, find no room lately.
+ * admit_accepts() decides whether a request may be sent to a server.
+ * `contended`: requests of the service that could meet their target have
+ * recently found no capacity.
+ *
+ * - A request that can meet its target only accepts a server that meets it.
+ * - A late request accepts any server that isn't slow; under contention or
+ *   when capacity is short, only one with headroom. accepts_slow_server() says
+ *   when it accepts a slow one.
  *
- * - A request that can be on time waits for a server on which it will be.
- * - A late one takes any server but a dear one, and that too where there is
- *   room enough; while others press or room is short, one with room to spare.
+ * A request that starts while a server is slow stays slow to its end, although
+ * the server recovers a moment later. Such requests miss their target anyway
+ * and occupy a slot for much longer.
  *
- * A server that is slow now stays so for the whole of a request that starts
- * there, and is quick again a moment later: starts at slow moments were late
- * all the same and held a slot for much longer. An instance sees few of the
- * requests that miss room, but many full servers, so late ones heed these too.
+ * One instance sees few of the requests that find no capacity, but many full
+ * servers, so late requests respect capacity_short as well.
  */
 bool admit_accepts(const struct admit_request *r, const struct admit_server *s,
-		   bool pressed)
+		   bool contended)
 {
 	if (!s->has_capacity || !mechanisms.quick_only)
 		return s->has_capacity;
@@ -74,30 +82,30 @@
 		return r->spent_ms + s->rtt_ms + s->work_ms <= r->target_ms;
 	if (is_slow_server(r, s))
 		return accepts_slow_server(r, s);
-	return (!pressed && !r->capacity_short) || s->has_headroom ||
+	return (!contended && !r->capacity_short) || s->has_headroom ||
 	       !mechanisms.late_yield;
 }
 
 /*
- * admit_accepts_hedge() decides about a second send of a request that is out
- * already: only to a server with room to spare on which it will be on time,
- * and not while others miss room or servers are full. Near their limit servers
- * would otherwise spend a fifth of their time on work whose other copy wins,
- * which is what keeps them there.
+ * admit_accepts_hedge() decides whether an outstanding request may be hedged
+ * on a server: one with headroom that meets the target, and only while there
+ * is no contention and capacity isn't short. Servers near their limit would
+ * otherwise spend a fifth of their time on copies that lose, which keeps them
+ * overloaded.
  */
 bool admit_accepts_hedge(const struct admit_request *r,
-			 const struct admit_server *s, bool pressed)
+			 const struct admit_server *s, bool contended)
 {
-	return !pressed && !r->capacity_short && s->has_headroom &&
+	return !contended && !r->capacity_short && s->has_headroom &&
 	       r->spent_ms + s->rtt_ms + s->work_ms <= r->target_ms;
 }
 
 /*
- * admit_accepts_rescue() decides about a second send of a request that is late
- * and may never be answered by the first server: where there is room to spare,
- * and not while others miss some.
+ * admit_accepts_rescue() decides whether a late request that its first server
+ * may never answer may be sent to this server as well: one with headroom,
+ * while there is no contention.
  */
-bool admit_accepts_rescue(const struct admit_server *s, bool pressed)
+bool admit_accepts_rescue(const struct admit_server *s, bool contended)
 {
-	return s->has_headroom && !pressed;
+	return s->has_headroom && !contended;
 }
--- a/core/availability.c
+++ b/core/availability.c
@@ -1,6 +1,6 @@
 #include "core/availability.h"
 
-/* hold_name() names it in logs. */
+/* hold_name() returns the name that logs use. */
 const char *hold_name(enum hold hold)
 {
 	static const char *const names[] = {"none",	"gone",	   "draining",
@@ -10,19 +10,22 @@
 	return names[hold];
 }
 
-/* backend_is_draining() tells whether b is about to stop. */
+/*
+ * backend_is_draining() returns whether the server or its list entry has
+ * announced that it stops.
+ */
 bool backend_is_draining(const struct backend *b)
 {
 	return b->state->draining || b->entry.draining;
 }
 
-/* backend_is_backing_off() tells whether b has asked for a backoff that lasts. */
+/* backend_is_backing_off() returns whether a backoff that b requested lasts. */
 bool backend_is_backing_off(const struct backend *b, int64_t now_ms)
 {
 	return now_ms < b->state->resume_ms;
 }
 
-/* Reasons that hold back anything. */
+/* Returns a reason that applies to all kinds of sends. */
 static enum hold hold_any(const struct backend *b, int64_t now_ms)
 {
 	if (b->gone)
@@ -34,6 +37,10 @@
 	return backend_is_backing_off(b, now_ms) ? HOLD_BACKOFF : HOLD_NONE;
 }
 
+/*
+ * Returns whether the limit allows one more send: from this instance's share,
+ * by one borrowed from a peer, or as a probe of whether the limit has ended.
+ */
 static bool has_limit_left(struct backend_limit *l, int64_t now_ms)
 {
 	return l->probe_allowed || now_ms < l->borrowed_until_ms ||
@@ -41,9 +48,9 @@
 }
 
 /*
- * Reasons that hold back what isn't committed yet. While it is unknown whether a
- * server has a limit it gets one request at a time: a limit counts over all instances,
- * and many may have just started.
+ * Returns a reason that applies to sends that aren't committed yet. While it is
+ * unknown whether a server has a limit it gets one request at a time: a limit
+ * covers the requests of all instances, and many may have just started.
  */
 static enum hold hold_new(const struct backend *b, enum send_kind kind,
 			  int64_t now_ms)
@@ -57,13 +64,13 @@
 							  : HOLD_NONE;
 	if (!s->limit->advertised.named)
 		return HOLD_NONE;
-	/* A limit is reserved for requests without another copy. */
+	/* Hedges don't use up a limit: requests without a copy need it. */
 	return kind == SEND_HEDGE || !has_limit_left(s->limit, now_ms)
 		       ? HOLD_LIMIT
 		       : HOLD_NONE;
 }
 
-/* backend_availability() tells whether b may be sent to, and why not. */
+/* backend_availability() returns whether b may be sent to, and if not, why. */
 struct availability backend_availability(const struct backend *b,
 					 enum send_kind kind, int64_t now_ms)
 {
@@ -76,7 +83,7 @@
 	return a;
 }
 
-/* backend_is_available() tells whether b may be sent to. */
+/* backend_is_available() returns whether b may be sent to. */
 bool backend_is_available(const struct backend *b, enum send_kind kind,
 			  int64_t now_ms)
 {
@@ -84,8 +91,8 @@
 }
 
 /*
- * service_resume_ms() returns when the first backoff ends, if no server of s can be
- * used until then; 0 if one can, or if none will be.
+ * service_resume_ms() returns the end of the earliest backoff if no server of s
+ * is available until then; 0 if one is available, or if none will be.
  */
 int64_t service_resume_ms(const struct service *s, int64_t now_ms)
 {
--- a/core/availability.h
+++ b/core/availability.h
@@ -1,36 +1,37 @@
 /*
- * Whether a backend server may be sent to now. This is the only check: every way of
- * sending calls it when a server is chosen, and the connection once more before the
- * first byte leaves.
+ * Decides whether a request may be sent to a backend server now. This is the
+ * only such check: every kind of send calls it when a server is chosen, and the
+ * connection calls it again before it writes the first byte.
  */
 #ifndef MP_CORE_AVAILABILITY_H
 #define MP_CORE_AVAILABILITY_H
 
 #include "core/backend.h"
 
-/* What is to be sent. */
 enum send_kind {
 	SEND_PRIMARY, /* the only copy of its request */
 	SEND_HEDGE,   /* another copy is outstanding */
-	/* Already chosen and charged to the limit; or a load question. */
+	/* Already chosen and charged to the limit, or a load probe. */
 	SEND_COMMITTED,
 };
 
-/* Why nothing may be sent. */
+/* Why a server must not be sent to. */
 enum hold {
 	HOLD_NONE,
-	HOLD_GONE,     /* off the list */
-	HOLD_DRAINING, /* announced by the server or its entry */
+	HOLD_GONE,     /* no longer listed */
+	HOLD_DRAINING, /* announced by the server or by its list entry */
 	HOLD_EXCLUDED, /* by the configuration */
 	HOLD_BACKOFF,  /* requested by the server */
-	HOLD_RESUMING, /* one at a time after a backoff, until one is answered */
-	HOLD_LIMIT,    /* this instance's part of the limit is used up */
-	HOLD_UNKNOWN, /* one at a time until it is known whether it has a limit */
+	HOLD_RESUMING, /* one request at a time until the first answer after a
+			  backoff */
+	HOLD_LIMIT,    /* this instance's share of the limit is used up */
+	HOLD_UNKNOWN,  /* one request at a time until it is known whether the
+			  server has a limit */
 };
 
 struct availability {
 	enum hold hold;
-	int64_t resume_ms; /* of HOLD_BACKOFF */
+	int64_t resume_ms; /* end of the backoff, for HOLD_BACKOFF */
 };
 
 struct availability backend_availability(const struct backend *b,
--- a/core/backend.c
+++ b/core/backend.c
@@ -4,7 +4,9 @@
 #include "core/mechanisms.h"
 #include "core/policy.h"
 
-/* backend_set_init() makes an empty set; on_gone hears of removals. */
+/*
+ * backend_set_init() initialises an empty set; on_gone is called on removals.
+ */
 void backend_set_init(struct backend_set *s,
 		      void (*on_gone)(void *priv, struct backend *b,
 				      bool ended),
@@ -18,8 +20,8 @@
 }
 
 /*
- * backend_set_service() finds a service by name and makes it when it is new:
- * the configuration and the list may name it in either order.
+ * backend_set_service() returns the service of that name, created if needed:
+ * either the configuration or the list may name it first.
  */
 struct service *backend_set_service(struct backend_set *s, struct lstr name)
 {
@@ -35,27 +37,30 @@
 	sv->backends = g_ptr_array_new();
 	sv->policy = place_policies;
 	budget_init(&sv->budget, g_random_double());
-	/* Nobody asks: what is known are the requests of all instances. */
+	/* Without probes, load is known from the instances' requests only. */
 	if (!mechanisms.ask)
 		sv->load_support = LOAD_NOT_REPORTED;
 	g_hash_table_insert(s->services, sv->name, sv);
 	return sv;
 }
 
-/* service_reports_load() tells whether the servers report their load, or may. */
+/*
+ * service_reports_load() returns false once the servers are known not to report
+ * their load, or if they aren't probed for it.
+ */
 bool service_reports_load(const struct service *s)
 {
 	return s->load_support != LOAD_NOT_REPORTED;
 }
 
-/* backend_ref() takes one more reference. */
+/* backend_ref() takes a reference. */
 struct backend *backend_ref(struct backend *b)
 {
 	b->refs++;
 	return b;
 }
 
-/* backend_unref() gives a reference back. */
+/* backend_unref() drops a reference and frees b with the last one. */
 void backend_unref(struct backend *b)
 {
 	if (--b->refs)
@@ -64,7 +69,8 @@
 	g_free(b);
 }
 
-static void take_off(struct backend_set *s, struct backend *b, bool ended)
+/* Removes b from the set; its other users keep their references. */
+static void remove_backend(struct backend_set *s, struct backend *b, bool ended)
 {
 	g_hash_table_remove(s->by_id, b->entry.id);
 	g_ptr_array_remove_fast(b->service->backends, b);
@@ -75,21 +81,21 @@
 }
 
 /*
- * backend_set_remove() takes a backend server off that the list no longer
- * names. Requests that it has are not touched: it may serve on for a while.
+ * backend_set_remove() removes a backend server that is no longer listed. Its
+ * outstanding requests continue, since it may still be running.
  */
 void backend_set_remove(struct backend_set *s, const char *id)
 {
 	struct backend *b = g_hash_table_lookup(s->by_id, id);
 
 	if (b)
-		take_off(s, b, false);
+		remove_backend(s, b, false);
 }
 
 /*
- * backend_entry_is_older() tells whether a says less than b of the same
- * server: it comes from an earlier start, or is an earlier word of the same.
- * Of servers that don't tell their start the order of words isn't known.
+ * backend_entry_is_older() returns whether entry a of a server is older than b:
+ * it belongs to an earlier start, or has a lower sequence number within the
+ * same start. Without a start time the sequence numbers can't be compared.
  */
 bool backend_entry_is_older(const struct backend_entry *a,
 			    const struct backend_entry *b)
@@ -100,8 +106,9 @@
 }
 
 /*
- * backend_entry_is_newer() tells whether a surely says more than b of the same
- * server: it comes from a later start, or is a later word of the same.
+ * backend_entry_is_newer() returns whether entry a of a server is certainly
+ * newer than b: it belongs to a later start, or has a higher sequence number
+ * within the same start.
  */
 bool backend_entry_is_newer(const struct backend_entry *a,
 			    const struct backend_entry *b)
@@ -111,20 +118,24 @@
 	return a->sequence > b->sequence;
 }
 
-/* backend_start_hash() tells starts of servers apart, on all instances alike. */
+/*
+ * backend_start_hash() identifies one start of a server. All instances compute
+ * the same hash.
+ */
 uint32_t backend_start_hash(const struct backend_entry *e)
 {
-	guint64 born = e->server_start_ms;
+	guint64 start_ms = e->server_start_ms;
 
-	return g_str_hash(e->id) ^ g_int64_hash(&born);
+	return g_str_hash(e->id) ^ g_int64_hash(&start_ms);
 }
 
-/* backend_is_limited() tells whether b names a limit, as far as is known. */
+/* backend_is_limited() returns whether b is known to have a limit. */
 bool backend_is_limited(const struct backend *b)
 {
 	return b->state->limit && b->state->limit->advertised.named;
 }
 
+/* Creates a listed backend server from its entry. */
 static struct backend *add_backend(struct backend_set *s,
 				   const struct backend_entry *e)
 {
@@ -141,11 +152,11 @@
 }
 
 /*
- * backend_set_put() takes in an entry of the list, new or changed. A server
- * that started again under its id holds and knows nothing of before: the
- * earlier one is taken off, with its counts, load, failures and connections,
- * and what it had is lost. The same goes for one whose service or address
- * changed.
+ * backend_set_put() adds or updates an entry of the list; outdated ones are
+ * ignored. A restarted server has lost its requests and all its state, so its
+ * struct backend is replaced, with its counters, load, failures and
+ * connections. So is that of a server whose service or address changed, but
+ * that one may still be running.
  */
 void backend_set_put(struct backend_set *s, const struct backend_entry *e,
 		     int64_t now_ms)
@@ -157,10 +168,10 @@
 	if (b && (e->server_start_ms != b->entry.server_start_ms ||
 		  strcmp(b->entry.service, e->service) ||
 		  memcmp(&b->entry.addr, &e->addr, sizeof(e->addr)))) {
-		bool again = e->server_start_ms != b->entry.server_start_ms;
+		bool restarted = e->server_start_ms != b->entry.server_start_ms;
 
-		b->state->superseded = again;
-		take_off(s, b, again);
+		b->state->superseded = restarted;
+		remove_backend(s, b, restarted);
 		b = NULL;
 	}
 	if (!b)
--- a/core/backend.h
+++ b/core/backend.h
@@ -1,7 +1,7 @@
 /*
- * Backend servers as one instance knows them: what the platform's list says
- * of each, and what this instance sees itself. The list comes as changes, so
- * that its size costs nothing while it stands still.
+ * Backend servers as one instance knows them: their entries in the platform's
+ * list, and what the instance itself has observed of each. The list arrives as
+ * changes, so that a long list costs nothing while it doesn't change.
  */
 #ifndef MP_CORE_BACKEND_H
 #define MP_CORE_BACKEND_H
@@ -20,57 +20,58 @@
 
 /* An entry of the platform's list of backend servers. */
 struct backend_entry {
-	char id[BACKEND_NAME_MAX];	/* one backend server */
-	char service[BACKEND_NAME_MAX]; /* the service it belongs to */
-	char dc[BACKEND_NAME_MAX];	/* its data centre */
+	char id[BACKEND_NAME_MAX];
+	char service[BACKEND_NAME_MAX]; /* that the server belongs to */
+	char dc[BACKEND_NAME_MAX];	/* data centre */
 	struct sockaddr_in addr;
-	unsigned slots;		  /* requests that it works on at once */
-	bool draining;		  /* takes no new work soon */
-	uint32_t warm_up_ms;	  /* it stays slow this much longer */
-	uint64_t server_start_ms; /* its start, by its clock; 0: not told */
-	uint64_t sequence;	  /* numbers what it says, from its start on */
+	unsigned slots;		  /* requests processed concurrently */
+	bool draining;		  /* about to stop: accepts no new requests */
+	uint32_t warm_up_ms;	  /* remaining time of its slow start */
+	uint64_t server_start_ms; /* by the server's clock; 0: unknown */
+	uint64_t sequence;	  /* version of the entry since that start */
 };
 
-/* What a backend server last said of its load. */
+/* The last load report of a backend server. */
 struct load_report {
 	unsigned running, waiting, slots;
-	unsigned slowdown_pct; /* how long work takes now; 100 is usual */
-	int64_t at_ms;	       /* when it arrived here; 0: never */
+	unsigned slowdown_pct; /* current service time; 100 is normal */
+	int64_t at_ms;	       /* when the report arrived; 0: never */
 };
 
 struct service;
 struct place_policy;
 
-/* Whose part of a server's limit a send is taken from. */
+/* Which share of a server's limit a send is charged to. */
 enum limit_charge {
-	LIMIT_CHARGE_NONE, /* it names none */
+	LIMIT_CHARGE_NONE, /* the server has no limit */
 	LIMIT_CHARGE_OWN,
-	LIMIT_CHARGE_PEER,  /* that gave it up */
-	LIMIT_CHARGE_PROBE, /* nobody's: to hear whether the limit has ended */
+	LIMIT_CHARGE_PEER,  /* a send that a peer gave up */
+	LIMIT_CHARGE_PROBE, /* no share: tests whether the limit has ended */
 };
 
 struct backend {
 	struct backend_entry entry;
 	struct service *service;
-	uint32_t start_hash;	    /* backend_start_hash() of its entry */
-	struct server_state *state; /* what this start has said */
+	uint32_t start_hash;	    /* backend_start_hash() of entry */
+	struct server_state *state; /* announced by this start of the server */
 	unsigned refs;
-	bool gone; /* off the list: no new work */
+	bool gone; /* no longer listed: gets no new requests */
 	int64_t warm_up_until_ms;
 	struct load_report load;
-	double rtt_ms;	      /* there and back, as questions showed */
-	unsigned in_flight;   /* requests of this instance that it has */
-	int peers_in_flight;  /* of the others, see core/peer_load.h */
-	uint64_t last_picked; /* a running number: when it last was */
-	bool excluded;	      /* the configuration gives it no new work */
+	double rtt_ms;	      /* moving average over load probes */
+	unsigned in_flight;   /* requests from this instance */
+	int peers_in_flight;  /* from other instances, see core/peer_load.h */
+	uint64_t last_picked; /* counter value at the last pick */
+	bool excluded;	      /* from new requests, by the configuration */
 	double failure_score; /* decayed failures, see core/outlier.h */
-	int64_t failure_score_ms;
-	bool deprioritized; /* what was last logged of it */
-	bool unreachable;   /* the last question failed; for the log */
-	bool process_ended; /* its process is known to be gone */
-	void *end_check;  /* the traffic side finds out whether it has ended */
-	void *idle_conns; /* the traffic side's idle connections */
-	void *busy_conns; /* those that wait for an answer or hold one */
+	int64_t failure_score_ms; /* when failure_score was computed */
+	bool deprioritized;	  /* as last logged */
+	bool unreachable;	  /* the last load probe failed; for the log */
+	bool process_ended;	  /* known for certain */
+	void *end_check;  /* traffic/: pending check of whether it ended */
+	void *idle_conns; /* traffic/: idle connections */
+	void *busy_conns; /* traffic/: connections with a pending or unread
+			     response */
 };
 
 /* Whether a service's backend servers report their load. */
@@ -78,23 +79,26 @@
 
 struct service {
 	char name[BACKEND_NAME_MAX];
-	GPtrArray *backends; /* struct backend *, those on the list */
+	GPtrArray *backends; /* struct backend *, the listed ones */
 	enum load_support load_support;
 	struct retry_budget budget;
-	struct budget_account account; /* of this lifetime */
+	struct budget_account account; /* since this process started */
 	const struct place_policy *policy;
-	struct service_model model; /* what its servers' answers showed */
-	int64_t capacity_missed_ms; /* room was missed by then, see core/admit.h */
-	GQueue waiting;		/* requests that found no room, best first */
-	struct limit_want want; /* what is asked of peers, see there */
-	int64_t last_turn_ms; /* turns up to then are promised, see retry_after */
+	struct service_model model; /* learned from the servers' answers */
+	/* When a request that could meet its target last found no capacity. */
+	int64_t capacity_missed_ms;
+	GQueue waiting; /* requests without a server, highest priority first */
+	struct limit_want want; /* sends requested from peers */
+	int64_t last_turn_ms;	/* latest turn given out, see retry_after.h */
 };
 
 struct backend_set {
 	GHashTable *services; /* name -> struct service * */
 	GHashTable *by_id;    /* id -> struct backend * */
 	struct server_states states;
-	/* b is off the list; `ended`: its process is known to be gone. */
+	/*
+	 * b is no longer listed; `ended`: its process is known to have ended.
+	 */
 	void (*on_gone)(void *priv, struct backend *b, bool ended);
 	void *priv;
 };
--- a/core/caller_timeout.h
+++ b/core/caller_timeout.h
@@ -1,7 +1,7 @@
 /*
- * How much of its time a caller has used up before it came here. Callers name
- * the time that they still wait, not the time that they had, so that is
- * worked out from what the others of the class name.
+ * Estimates how much of its timeout a caller has spent on earlier attempts. A
+ * request carries the caller's remaining time, not its whole timeout, so the
+ * timeout is estimated from the remaining times of other requests of the class.
  */
 #ifndef MP_CORE_CALLER_TIMEOUT_H
 #define MP_CORE_CALLER_TIMEOUT_H
@@ -11,27 +11,28 @@
 
 enum { CALLER_TIMEOUT_SAMPLES = 32, SPREAD_SAMPLES = 32 };
 
-/* The time that callers of a class give a request. */
+/* The timeout of the callers of one class of requests. */
 struct caller_timeout {
-	uint32_t samples
-		[CALLER_TIMEOUT_SAMPLES]; /* what the last requests named */
-	unsigned n;
-	uint32_t timeout_ms; /* 0: not known yet */
+	/* Remaining times of recent requests. */
+	uint32_t samples[CALLER_TIMEOUT_SAMPLES];
+	unsigned n;	     /* samples so far */
+	uint32_t timeout_ms; /* 0: unknown */
 };
 
-/* By how much callers' first attempts differ, of all classes together. */
+/* How much callers' timeouts vary, over all classes. */
 struct caller_timeout_spread {
-	double samples
-		[SPREAD_SAMPLES]; /* shares of the limit that were missing */
-	unsigned n;
-	double share;
+	/* By how much recent remaining times fall short of the timeout, as a
+	 * share of it. */
+	double samples[SPREAD_SAMPLES];
+	unsigned n;   /* samples so far */
+	double share; /* estimated maximum of such shares; 0: unknown */
 };
 
-void caller_timeout_record(struct caller_timeout *p, uint32_t left_ms);
+void caller_timeout_record(struct caller_timeout *t, uint32_t left_ms);
 void caller_timeout_spread_record(struct caller_timeout_spread *s,
-				  const struct caller_timeout *p,
-				  uint32_t left_ms, bool calm);
-double caller_timeout_spent_ms(const struct caller_timeout *p,
+				  const struct caller_timeout *t,
+				  uint32_t left_ms, bool first_only);
+double caller_timeout_spent_ms(const struct caller_timeout *t,
 			       const struct caller_timeout_spread *s,
 			       uint32_t left_ms);
 
--- a/core/hedge.c
+++ b/core/hedge.c
@@ -1,50 +1,53 @@
 #include "core/hedge.h"
 
-/* A second send needs this much of the usual time to make the target. */
+/* Time to allow for a hedge to complete, as a multiple of the median. */
 static const double HEDGE_LATENCY_FACTOR = 1.4;
 
 /*
- * Of answers that come at all 99 in 100 come within this much of the usual
- * time. Sooner a second send is most often one too many.
+ * 99% of the answers that arrive at all do so within this multiple of the
+ * median. Most hedges sent before that would be unnecessary.
  */
 static const double MIN_DELAY_FACTOR = 2;
 
 /*
- * Where servers tell no load a start at a slow moment can't be seen, only that
- * no answer comes: one that takes this much longer than usual is most often one
- * of these. With the shares above a second send comes too late for them.
+ * The same for servers that don't report their load. There a slow server isn't
+ * known when the request is sent, only later by the missing answer: most
+ * requests that exceed the median by this factor are on a slow server. The
+ * factors above would hedge them too late.
  */
 static const double UNREPORTED_MIN_DELAY_FACTOR = 1.15;
 static const double UNREPORTED_LATENCY_FACTOR = 1.3;
 
 /*
- * hedge_delay_ms() returns how long after the first send the second is due:
- * as late as the second can still be answered on time, but not before the
- * first had twice its usual time. `told`: servers tell their load, so that the
- * first was chosen for being quick.
+ * hedge_delay_ms() returns how long after the first send the hedge is due: at
+ * the last moment at which it can still meet the target, but not before the
+ * first send has taken twice its expected time, work_ms. `load_reported`: the
+ * servers report their load, so the first was known to be fast when it was
+ * chosen.
  */
 int64_t hedge_delay_ms(double work_ms, uint32_t target_ms, int64_t spent_ms,
-		       bool told)
+		       bool load_reported)
 {
 	double left = (double)target_ms - (double)spent_ms;
 	double latest = left - HEDGE_LATENCY_FACTOR * work_ms;
 	double earliest = MIN_DELAY_FACTOR * work_ms;
-	double untold = left - UNREPORTED_LATENCY_FACTOR * work_ms;
+	double unreported = left - UNREPORTED_LATENCY_FACTOR * work_ms;
 
-	if (!told && untold >= UNREPORTED_MIN_DELAY_FACTOR * work_ms)
-		return (int64_t)untold;
+	if (!load_reported &&
+	    unreported >= UNREPORTED_MIN_DELAY_FACTOR * work_ms)
+		return (int64_t)unreported;
 	return (int64_t)(latest > earliest ? latest : earliest);
 }
 
-/* A server that has taken this many times as long may never answer. */
+/* A server that takes this multiple of the estimate may never answer. */
 static const double RESCUE_DELAY_FACTOR = 2.5;
 
 /*
- * rescue_delay_ms() returns how long after a send a request that is late
- * anyway goes to another server: without it one that was taken and is never
- * answered would end with its timeout. estimate_ms is what was expected of
- * the first server when it was chosen, so that a slow one isn't given up
- * shortly before it answers. Not before the target has passed.
+ * rescue_delay_ms() returns how long after a send a request that is already
+ * late goes to another server; without that, a request that its server accepted
+ * and never answers would only end with its timeout. It is at least the target.
+ * estimate_ms is the service time expected of the first server when it was
+ * chosen, so that a slow one isn't abandoned shortly before it answers.
  */
 int64_t rescue_delay_ms(double estimate_ms, uint32_t target_ms)
 {
--- a/core/latency_model.h
+++ b/core/latency_model.h
@@ -1,13 +1,13 @@
 /*
- * What the backend servers of a service are like, learned from their answers:
- * how long a class of requests works, and by which factors that grows with
- * the requests that a server has at work, with the slow-down that it reports
- * and after a start. Values in, values out; the time is an argument.
+ * Service time model of a service's backend servers, learned from their
+ * answers: the typical service time of each class of requests, and the factors
+ * by which it grows with a server's concurrency, with the slowdown that it
+ * reports and after a start. Pure functions; the time is an argument.
  *
- * Nothing is taken as given but weak priors: a mean counts them as a few
- * answers and forgets within seconds, so that a wrong, old or lying report
- * moves a decision little and not for long. A service never seen is expected
- * to be as its servers say.
+ * Priors are weak: each mean counts its prior as a few answers and forgets
+ * samples within seconds, so that a wrong, outdated or false report has little
+ * effect, and not for long. Without answers, servers are expected to be as they
+ * report.
  */
 #ifndef MP_CORE_LATENCY_MODEL_H
 #define MP_CORE_LATENCY_MODEL_H
@@ -16,41 +16,41 @@
 #include <stdint.h>
 
 enum {
-	LATENCY_LOAD_STEPS = 16,    /* steps from an idle to a full server */
-	LATENCY_SLOWDOWN_STEPS = 4, /* steps of reported slow-down */
+	LATENCY_LOAD_STEPS = 16,    /* load steps from idle to full */
+	LATENCY_SLOWDOWN_STEPS = 4, /* steps of reported slowdown */
 };
 
-/* A geometric mean whose samples fade. */
+/* A geometric mean whose samples decay exponentially. */
 struct decayed_mean {
 	double log_sum, weight;
-	int64_t at_ms; /* both are right as of then */
+	int64_t at_ms; /* when both were computed */
 };
 
-/* The servers of one service. */
+/* Learned factors of the servers of one service. */
 struct service_model {
-	struct decayed_mean
-		by_load[LATENCY_LOAD_STEPS]; /* by requests at work */
-	struct decayed_mean by_slowdown
-		[LATENCY_SLOWDOWN_STEPS]; /* actual by reported slow-down */
-	struct decayed_mean warm_up;	  /* beyond what a new one reports */
-	double typical_factor; /* a quarter of the servers seen offer less; 0: unseen */
-	double full_share; /* share of the servers seen that had no room, of late */
+	struct decayed_mean by_load[LATENCY_LOAD_STEPS];
+	/* Actual slowdown as a multiple of the reported one. */
+	struct decayed_mean by_slowdown[LATENCY_SLOWDOWN_STEPS];
+	struct decayed_mean warm_up; /* of new servers, beyond their report */
+	/* Lower quartile of the factors of recently seen servers; 0: none. */
+	double typical_factor;
+	double full_share; /* share of recently seen servers without capacity */
 };
 
-/* One class of requests. */
+/* Learned service time of one class of requests. */
 struct work_model {
-	double median_ms; /* median at a quick server with nothing else to do */
-	double p75_ms;	  /* a quarter of its requests take longer */
-	double mean_ms;	  /* geometric mean: what factors are measured by */
+	double median_ms; /* on an otherwise idle server of normal speed */
+	double p75_ms;	  /* 75th percentile */
+	double mean_ms;	  /* geometric mean, the base of all factors */
 	unsigned samples;
 };
 
-/* A server as it was, or is, when a request starts there. */
+/* State of a server at the start of a request. */
 struct server_view {
-	unsigned active_requests; /* requests, this one included */
+	unsigned active_requests; /* this one included */
 	unsigned slots;
 	unsigned slowdown_pct; /* as reported; 0: none */
-	bool warming_up;       /* it has said that it is still slow */
+	bool warming_up;       /* it has announced that it is still slow */
 };
 
 void work_model_init(struct work_model *w, uint32_t target_ms);
--- a/core/mechanisms.h
+++ b/core/mechanisms.h
@@ -1,7 +1,7 @@
 /*
- * Switches for the mechanisms that decide about requests, all on by default.
- * Operators switch one off to find what it does to their load, and
- * scripts/ablate.sh to measure what it is worth.
+ * Switches for the mechanisms that handle requests, all on by default.
+ * Operators switch one off to see its effect on their traffic;
+ * scripts/ablate.sh does so to measure its benefit.
  */
 #ifndef MP_CORE_MECHANISMS_H
 #define MP_CORE_MECHANISMS_H
@@ -9,22 +9,22 @@
 #include <stdbool.h>
 
 struct mechanisms {
-	bool ask;	  /* servers are asked for their load before a send */
-	bool learn;	  /* what answers show corrects what servers report */
-	bool wait;	  /* requests wait here for room */
-	bool quick_only;  /* no start where the request will be late or dear */
-	bool late_yield;  /* late requests leave room to others */
-	bool second;	  /* second sends that can still be on time */
+	bool ask;	  /* probe servers for their load before a send */
+	bool learn;	  /* correct reported load by observed latency */
+	bool wait;	  /* queue requests until a server has capacity */
+	bool quick_only;  /* avoid servers that are too slow for the request */
+	bool late_yield;  /* late requests leave capacity to others */
+	bool second;	  /* hedges: second sends that can meet the target */
 	bool rescue;	  /* second sends of late requests */
-	bool outliers;	  /* servers that failed lately come later */
-	bool idle_first;  /* servers with an idle connection come first */
-	bool own_dc;	  /* servers of the own data centre come first */
-	bool spent;	  /* earlier attempts of a caller count */
-	bool return_time; /* Retry-After by the time that a caller has left */
-	bool quarantine;  /* requests that end servers are refused */
+	bool outliers;	  /* deprioritize servers that failed recently */
+	bool idle_first;  /* prefer servers with an idle connection */
+	bool own_dc;	  /* prefer servers in the own data centre */
+	bool spent;	  /* count the time of a caller's earlier attempts */
+	bool return_time; /* derive Retry-After from the caller's time left */
+	bool quarantine;  /* refuse requests that crash servers */
 };
 
-/* In force in this process; set before its threads start. */
+/* Of this process; set before its threads start. */
 extern struct mechanisms mechanisms;
 
 #endif
--- a/core/outlier.c
+++ b/core/outlier.c
@@ -5,28 +5,30 @@
 #include "core/outlier.h"
 
 /*
- * Half a stability window of the platform's faults: the memory outlasts the
- * pause between two requests of one instance to one server (about 2 s at ten
- * requests a second over two dozen servers).
+ * Half of a stability window of the platform's faults. It is longer than the
+ * interval between two requests of one instance to one server: about 2 s at ten
+ * requests a second over two dozen servers.
  */
 static const double OUTLIER_HALF_LIFE_MS = 2500;
 
-/* Memory above this counts as this much; it bounds the time to forgive. */
+/* Maximum score; bounds the time until a recovered server is used again. */
 static const double OUTLIER_MAX = 8;
 
 /*
- * From here on a server is asked only when no other is left: two failures in
- * a row, or three within some seconds.
+ * Score from which a server is deprioritized: two failures in a row, or three
+ * within a few seconds.
  */
 static const double OUTLIER_THRESHOLD = 1.5;
 
-/* outlier_is_deprioritized() tells whether b is asked only when no other is left. */
+/*
+ * outlier_is_deprioritized() returns whether b is used only as a last resort.
+ */
 bool outlier_is_deprioritized(const struct backend *b, int64_t now_ms)
 {
 	return outlier_score(b, now_ms) >= OUTLIER_THRESHOLD;
 }
 
-/* outlier_score() returns the decayed weight of past failures. */
+/* outlier_score() returns the decayed sum of past outcomes' weights. */
 double outlier_score(const struct backend *b, int64_t now_ms)
 {
 	double age = (double)(now_ms - b->failure_score_ms);
@@ -37,8 +39,8 @@
 }
 
 /*
- * outlier_record() adds a bad outcome (weight > 0) or takes off for a good one
- * (weight < 0). The sum never goes below zero.
+ * outlier_record() adds the weight of an outcome to the score: positive for a
+ * failure, negative for a success. The score never goes below zero.
  */
 void outlier_record(struct backend *b, double weight, int64_t now_ms)
 {
--- a/core/outlier.h
+++ b/core/outlier.h
@@ -1,7 +1,7 @@
 /*
- * Failure memory of one backend server. Each bad outcome adds weight that
- * halves every OUTLIER_HALF_LIFE_MS, so a server that recovers is used again
- * without anybody having to say so.
+ * Outlier detection. Each failure of a backend server adds to its score, which
+ * decays with a half-life of OUTLIER_HALF_LIFE_MS, so that a recovered server
+ * is used again without a signal.
  */
 #ifndef MP_CORE_OUTLIER_H
 #define MP_CORE_OUTLIER_H
--- a/core/peer_load.c
+++ b/core/peer_load.c
@@ -3,31 +3,31 @@
 #include "core/peer_load.h"
 
 /*
- * What an instance said counts for this long. It says so again while it has
- * requests out, so a lost datagram or a lost instance is forgotten soon.
+ * How long a report counts. Instances repeat theirs while they have requests in
+ * flight, so a lost datagram or instance has no effect beyond this time.
  */
-enum { VALID_MS = 1200 };
+enum { REPORT_TTL_MS = 1200 };
 
-/* What was added to the servers for one peer. */
+/* The report of one peer that the servers' counts include. */
 struct applied {
 	struct peer_load load;
 	int64_t at_ms;
 };
 
-/* peer_load_hash() is the same on all instances. */
+/* peer_load_hash() hashes a server's id; equal on all instances. */
 uint32_t peer_load_hash(const char *backend_id)
 {
 	return g_str_hash(backend_id);
 }
 
-/* peer_loads_init() makes an empty table. */
+/* peer_loads_init() initialises an empty table. */
 void peer_loads_init(struct peer_loads *p)
 {
 	p->by_peer =
 		g_hash_table_new_full(g_int_hash, g_int_equal, NULL, g_free);
 }
 
-/* peer_loads_collect() lists this instance's own requests for the peers. */
+/* peer_loads_collect() fills `out` with this instance's report to its peers. */
 void peer_loads_collect(struct backend_set *set, struct peer_load *out)
 {
 	GHashTableIter it;
@@ -46,8 +46,9 @@
 	}
 }
 
-/* Adds (sign 1) or takes off (-1) what a peer has at the servers. */
-static void add(struct backend_set *set, const struct peer_load *load, int sign)
+/* Adds (sign 1) or subtracts (-1) a report to or from the servers' counts. */
+static void add_counts(struct backend_set *set, const struct peer_load *load,
+		       int sign)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -67,14 +68,14 @@
 	}
 }
 
-/* peer_loads_apply() takes in what a peer says, in the place of before. */
+/* peer_loads_apply() replaces the previous report of a peer. */
 void peer_loads_apply(struct peer_loads *p, struct backend_set *set,
 		      const struct peer_load *load, int64_t now_ms)
 {
 	struct applied *a = g_hash_table_lookup(p->by_peer, &load->peer);
 
 	if (a) {
-		add(set, &a->load, -1);
+		add_counts(set, &a->load, -1);
 	} else {
 		a = g_new0(struct applied, 1);
 		a->load.peer = load->peer;
@@ -83,10 +84,10 @@
 	a->load.n = load->n;
 	memcpy(a->load.items, load->items, load->n * sizeof(*load->items));
 	a->at_ms = now_ms;
-	add(set, &a->load, 1);
+	add_counts(set, &a->load, 1);
 }
 
-/* peer_loads_expire() forgets what is too old. */
+/* peer_loads_expire() drops reports that have expired. */
 void peer_loads_expire(struct peer_loads *p, struct backend_set *set,
 		       int64_t now_ms)
 {
@@ -97,9 +98,9 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct applied *a = v;
 
-		if (now_ms - a->at_ms < VALID_MS)
+		if (now_ms - a->at_ms < REPORT_TTL_MS)
 			continue;
-		add(set, &a->load, -1);
+		add_counts(set, &a->load, -1);
 		g_hash_table_iter_remove(&it);
 	}
 }
--- a/core/peer_load.h
+++ b/core/peer_load.h
@@ -1,7 +1,7 @@
 /*
- * Requests that the other instances have at backend servers, as they say. For
- * services whose servers tell no load this is all that is known of it: the
- * instances' requests together are what the servers have.
+ * In-flight requests of the other instances (peers) at backend servers, as the
+ * peers report them. For services whose servers don't report their load, the
+ * sum over all instances is the only known load.
  */
 #ifndef MP_CORE_PEER_LOAD_H
 #define MP_CORE_PEER_LOAD_H
@@ -10,13 +10,13 @@
 
 enum { PEER_LOAD_MAX = 128 };
 
-/* Requests of one instance at one server; ids are sent as their hash. */
+/* In-flight requests of one instance at one server. */
 struct peer_load_item {
 	uint32_t backend; /* peer_load_hash() of its id */
 	uint32_t count;
 };
 
-/* All that one instance has out, at servers that tell no load. */
+/* In-flight requests of one instance at servers that don't report load. */
 struct peer_load {
 	uint32_t peer; /* peer_id() of the instance */
 	unsigned n;
@@ -24,7 +24,7 @@
 };
 
 struct peer_loads {
-	GHashTable *by_peer; /* its id -> what was applied */
+	GHashTable *by_peer; /* peer id -> struct applied * */
 };
 
 uint32_t peer_load_hash(const char *backend_id);
--- a/core/place.c
+++ b/core/place.c
@@ -6,24 +6,25 @@
 #include "core/place.h"
 
 /*
- * What a unit of remembered failure is worth in time: one recent failure
- * makes a server look three times as slow, so that it is used when the
- * others are nearly full, and not before.
+ * Added relative latency for each unit of failure score. One recent failure
+ * makes a server rank as three times as slow, so that it is used only when the
+ * others are nearly full.
  */
 static const double FAILURE_SLOWDOWN = 2.0;
 
-/* How much one measured way to a server says beside the earlier ones. */
+/* Weight of one round-trip time in the moving average. */
 static const double RTT_EWMA_WEIGHT = 0.1;
 
 /*
- * Up to this many times the usual time a server counts as quick. With more, one
- * whose last slot is slow does so until that is learned.
+ * Latency factor up to which a server counts as fast. A higher bound would
+ * include servers that are slow on their last slot, until the model has learned
+ * that.
  */
 static const double GOOD_ENOUGH_FACTOR = 1.2;
 
 /*
- * How busy b is: by its report, or, if the service's servers make none, by
- * the requests that the instances together have there.
+ * Returns b's load: as it last reported, or, if the service's servers don't
+ * report load, from the requests that all instances have in flight there.
  */
 static struct load_report current_load(const struct backend *b)
 {
@@ -36,7 +37,7 @@
 	};
 }
 
-/* place_server_view() tells how b stands for one more request. */
+/* place_server_view() returns b's state with one more request. */
 struct server_view place_server_view(const struct backend *b, int64_t now_ms)
 {
 	struct load_report l = current_load(b);
@@ -49,6 +50,7 @@
 	};
 }
 
+/* Returns whether the query excludes b. */
 static bool is_avoided(const struct place_query *q, const struct backend *b)
 {
 	for (unsigned i = 0; i < q->navoid; i++) {
@@ -59,19 +61,21 @@
 }
 
 /*
- * Reports younger than this still say something: a server's speed changes
- * about every 300 ms.
+ * Maximum age of a load report used in ranking: a server's speed changes about
+ * every 300 ms.
  */
 enum { REPORT_FRESH_MS = 250 };
 
 /*
- * Whom to ask first: ranks add up and the lowest go first. A random part
- * below 1 spreads instances over servers that are alike; the steps below say
- * what goes before what. Another data centre costs a round trip and paid
- * bytes, so the first round asks in the own one only. Later rounds, when
- * neither of two was idle and quick, also ask elsewhere, so that a busy data
- * centre doesn't wait until all of its servers are known to be full beside one
- * that has room. A server that keeps failing comes last.
+ * Probe order: a server's rank is the sum of the terms that apply and a random
+ * number below 1, which spreads the instances over equal servers. The lowest
+ * ranks are probed first; servers that keep failing come last.
+ *
+ * Another data centre costs a longer round trip and paid traffic, so the first
+ * round probes the own data centre only. Later rounds, when neither of two
+ * servers was idle and fast, include the others. Otherwise requests in a busy
+ * data centre would wait until all of its servers are known to be full, while
+ * another data centre has capacity.
  */
 static const double RANK_DEPRIORITIZED = 8;
 static const double RANK_FULL = 3;
@@ -82,17 +86,17 @@
 static const double RANK_FAST = -0.5;
 
 /*
- * A server without an idle connection is asked after those with one: opening
- * one takes a round trip and a moment of a slot. One ask in ten leaves that
- * out, so that a server that has just joined is known within a second.
+ * Servers without an idle connection rank lower, since opening one takes a
+ * round trip and briefly a slot. One selection in ten ignores this, so that a
+ * new server is probed within a second.
  */
 static const double RANK_NO_CONNECTION = 0.8;
 static const double EXPLORE_SHARE = 0.1;
 
-/* Remembered failure up to which a server counts as sound. */
+/* Failure score below which a server counts as healthy. */
 static const double HEALTHY_SCORE_MAX = 0.5;
 
-/* What a remembered report says for or against asking b now. */
+/* Returns the rank term of b's last load report. */
 static double report_rank(const struct place_query *q, const struct backend *b)
 {
 	if (!b->load.at_ms || q->now_ms - b->load.at_ms > REPORT_FRESH_MS)
@@ -107,7 +111,7 @@
 		       : RANK_FAST;
 }
 
-/* Tells whether b may get new work for this query. */
+/* Returns whether b may get a new request for this query. */
 static bool is_candidate(const struct place_query *q, const struct backend *b)
 {
 	enum send_kind kind = q->hedge ? SEND_HEDGE : SEND_PRIMARY;
@@ -118,7 +122,10 @@
 	       !strcmp(b->entry.dc, q->dc);
 }
 
-/* place_candidates() lists them all; unref the array after use. */
+/*
+ * place_candidates() returns all servers that may get a new request; the caller
+ * unrefs the array.
+ */
 GPtrArray *place_candidates(const struct place_query *q)
 {
 	const GPtrArray *all = q->service->backends;
@@ -131,17 +138,17 @@
 	return fit;
 }
 
-/* Orders candidates: lower is asked first; ties are broken at random. */
+/* Returns a candidate's rank; the lowest ones are probed first. */
 static double probe_rank(const struct place_query *q, const struct backend *b,
 			 bool explore)
 {
 	double rank = g_rand_double(q->rand);
-	double trouble = outlier_score(b, q->now_ms);
+	double score = outlier_score(b, q->now_ms);
 
 	if (outlier_is_deprioritized(b, q->now_ms))
-		rank += RANK_DEPRIORITIZED + trouble;
-	else if (trouble > 0)
-		rank += trouble;
+		rank += RANK_DEPRIORITIZED + score;
+	else if (score > 0)
+		rank += score;
 	if (mechanisms.own_dc && strcmp(b->entry.dc, q->dc))
 		rank += RANK_OTHER_DC;
 	if (b->warm_up_until_ms > q->now_ms)
@@ -153,8 +160,8 @@
 }
 
 /*
- * place_select_probes() picks up to `want` servers to ask next, those of the own
- * data centre first. Returns how many it wrote to out.
+ * place_select_probes() selects up to `want` servers to probe next and stores
+ * them in `out`, lowest rank first. Returns their number.
  */
 unsigned place_select_probes(const struct place_query *q, unsigned want,
 			     struct backend **out)
@@ -190,16 +197,16 @@
 	return n;
 }
 
-/* place_record_rtt() learns from a question how long the way to b takes. */
+/* place_record_rtt() adds the round-trip time of a load probe. */
 void place_record_rtt(struct backend *b, double ms)
 {
 	b->rtt_ms += RTT_EWMA_WEIGHT * (ms - b->rtt_ms);
 }
 
 /*
- * place_estimate_ms() expects how long b works on a request, from its last
- * report, what such reports have meant and its queue. The way there comes on
- * top: b->rtt_ms.
+ * place_estimate_ms() returns the expected service time of a request on b,
+ * whose normal service time is work_ms, from b's last report, the learned
+ * factors and b's queue. The round trip, b->rtt_ms, isn't included.
  */
 double place_estimate_ms(const struct backend *b, double work_ms,
 			 int64_t now_ms)
@@ -213,7 +220,7 @@
 	return ms;
 }
 
-/* place_record_load() learns from b's present load what servers offer. */
+/* place_record_load() adds b's current load to the service's model. */
 void place_record_load(struct backend *b, int64_t now_ms)
 {
 	struct server_view v = place_server_view(b, now_ms);
@@ -224,31 +231,31 @@
 }
 
 /*
- * Bytes between data centres are paid for: to save them a request may take
- * this much longer.
+ * Relative latency that a request may lose to stay in its data centre, since
+ * traffic between data centres is paid for.
  */
 static const double OTHER_DC_PENALTY = 0.06;
 
 /*
- * place_rank_ms() orders servers of which each suits: lower is better. It is
- * the time expected, longer by what is remembered of failures. These don't
- * count for whether a server suits: where all fail now and then, requests
- * would wait for better ones in vain.
+ * place_rank_ms() ranks servers that are all acceptable for a request: lower is
+ * better. It is the expected latency, increased by the failure score. Whether a
+ * server is acceptable doesn't depend on the score: where all servers fail now
+ * and then, requests would wait for a better one in vain.
  */
 double place_rank_ms(const struct backend *b, const char *dc,
 		     double estimate_ms, int64_t now_ms)
 {
-	bool elsewhere = mechanisms.own_dc && strcmp(b->entry.dc, dc);
-	double away = elsewhere ? OTHER_DC_PENALTY : 0;
+	bool other_dc = mechanisms.own_dc && strcmp(b->entry.dc, dc);
+	double penalty = other_dc ? OTHER_DC_PENALTY : 0;
 
-	return (estimate_ms + b->rtt_ms) * (1 + away) *
+	return (estimate_ms + b->rtt_ms) * (1 + penalty) *
 	       (1 + FAILURE_SLOWDOWN * outlier_score(b, now_ms));
 }
 
 /*
- * What others have at a server that tells no load is known late: two instances
- * may send there at the same time. So a slot is left for such, where there
- * are more than two.
+ * Returns the slots to use of a server. Requests of other instances to a server
+ * that doesn't report its load are known with a delay, and two instances may
+ * send to it at the same time, so one slot is reserved if it has more than two.
  */
 static unsigned usable_slots(const struct backend *b, unsigned slots)
 {
@@ -256,7 +263,7 @@
 							      : slots - 1;
 }
 
-/* place_has_capacity() tells whether one more request may be sent to b. */
+/* place_has_capacity() returns whether b can take one more request. */
 bool place_has_capacity(const struct backend *b, int64_t now_ms)
 {
 	struct load_report l = current_load(b);
@@ -267,9 +274,10 @@
 }
 
 /*
- * place_has_headroom() tells whether b has room that nobody misses: with two
- * requests more it still gets more done than with one. Late requests and
- * second sends that take a server's last good slot cost others a start.
+ * place_has_headroom() returns whether b can take one more request without a
+ * loss to others: it has a higher throughput with two more requests than with
+ * one. Late requests and hedges that take the last useful slot of a server
+ * delay others.
  */
 bool place_has_headroom(const struct backend *b, int64_t now_ms)
 {
@@ -281,9 +289,9 @@
 }
 
 /*
- * place_is_good_enough() tells whether waiting for the answers of others can gain
- * little: b has room to spare, is expected to work at about its usual speed,
- * and has not failed lately. A server's last slot is not prompt.
+ * place_is_good_enough() returns whether there is little to gain from waiting
+ * for other servers' reports: b has headroom, about its normal speed, and no
+ * recent failures. The last slot of a server is never good enough.
  */
 bool place_is_good_enough(const struct backend *b, int64_t now_ms)
 {
--- a/core/place.h
+++ b/core/place.h
@@ -1,11 +1,10 @@
 /*
- * Placement: which backend servers to ask for their load, and which of those
- * that answered gets the request. Pure decisions on values; no network, no
- * clock of its own.
+ * Placement: which backend servers to probe for their load, and how the probed
+ * servers compare. Pure functions: no network access, the time is an argument.
  *
- * Load shifts within milliseconds, so a remembered report is worth little. A
- * few servers are asked just before a request is sent, and the request goes
- * out on a connection that has answered a moment ago.
+ * Load changes within milliseconds, so an older report is of little use. A few
+ * servers are probed just before a request is sent, which then uses a
+ * connection that has just answered.
  */
 #ifndef MP_CORE_PLACE_H
 #define MP_CORE_PLACE_H
@@ -13,17 +12,17 @@
 #include "core/backend.h"
 
 enum {
-	PLACE_PROBE_MAX = 4, /* servers asked at once, at most */
-	PLACE_TRIED_MAX = 8, /* servers remembered as used up */
+	PLACE_PROBE_MAX = 4, /* servers probed at once */
+	PLACE_TRIED_MAX = 8, /* servers excluded as already tried */
 };
 
 struct place_query {
 	const struct service *service;
 	const char *dc;		      /* this instance's data centre */
-	struct backend *const *avoid; /* already asked or sent to */
+	struct backend *const *avoid; /* already probed or sent to */
 	unsigned navoid;
 	bool own_dc_only;
-	bool hedge; /* beside a first send: not to servers in need */
+	bool hedge; /* another copy is outstanding: not to limited servers */
 	int64_t now_ms;
 	GRand *rand;
 };
--- a/core/policy.c
+++ b/core/policy.c
@@ -3,24 +3,25 @@
 #include "core/policy.h"
 
 /*
- * Requests that a server has as far as is known here: those it told, or those
- * that the instances together have there.
+ * Returns the number of requests that a server is known to have: as it last
+ * reported, or as the instances together have in flight, whichever is higher.
  */
 static unsigned known_requests(const struct backend *b)
 {
-	unsigned told = b->load.running + b->load.waiting;
-	unsigned ours = b->in_flight + (unsigned)b->peers_in_flight;
+	unsigned reported = b->load.running + b->load.waiting;
+	unsigned in_flight = b->in_flight + (unsigned)b->peers_in_flight;
 
-	return ours > told ? ours : told;
+	return in_flight > reported ? in_flight : reported;
 }
 
+/* Picks a server at random. */
 static unsigned pick_random(void *priv, struct backend *const *servers,
 			    unsigned n, GRand *rand)
 {
 	return (unsigned)g_rand_int_range(rand, 0, (gint32)n);
 }
 
-/* The server that was picked longest ago. */
+/* Picks the least recently picked server. */
 static unsigned pick_round_robin(void *priv, struct backend *const *servers,
 				 unsigned n, GRand *rand)
 {
@@ -33,6 +34,7 @@
 	return best;
 }
 
+/* Picks the server with the fewest requests of this instance. */
 static unsigned pick_least(void *priv, struct backend *const *servers,
 			   unsigned n, GRand *rand)
 {
@@ -45,7 +47,10 @@
 	return best;
 }
 
-/* The less loaded of two at random: a stale report draws no crowd. */
+/*
+ * Picks the less loaded of two random servers (power of two choices), so that
+ * instances with an outdated report don't all send to the same server.
+ */
 static unsigned pick_two_choices(void *priv, struct backend *const *servers,
 				 unsigned n, GRand *rand)
 {
@@ -55,11 +60,11 @@
 	return known_requests(servers[a]) <= known_requests(servers[b]) ? a : b;
 }
 
-/* The least loaded; of several one at random. */
+/* Picks the least loaded server, at random among equals. */
 static unsigned pick_least_known(void *priv, struct backend *const *servers,
 				 unsigned n, GRand *rand)
 {
-	unsigned best = 0, same = 0;
+	unsigned best = 0, ties = 0;
 
 	for (unsigned i = 0; i < n; i++) {
 		unsigned load = known_requests(servers[i]);
@@ -67,9 +72,9 @@
 
 		if (i == 0 || load < least) {
 			best = i;
-			same = 1;
+			ties = 1;
 		} else if (load == least &&
-			   g_rand_int_range(rand, 0, (gint32)++same) == 0) {
+			   g_rand_int_range(rand, 0, (gint32)++ties) == 0) {
 			best = i;
 		}
 	}
@@ -85,7 +90,7 @@
 	{NULL, false, NULL, NULL},
 };
 
-/* place_policy_find() finds a policy by name, or NULL. */
+/* place_policy_find() returns the policy of that name, or NULL. */
 const struct place_policy *place_policy_find(const char *name)
 {
 	for (const struct place_policy *p = place_policies; p->name; p++) {
--- a/core/policy.h
+++ b/core/policy.h
@@ -1,7 +1,8 @@
 /*
- * How a backend server is chosen where load isn't asked for: tables of a
- * function and its context, so that a policy is added without touching the
- * placement. "load" is the default: servers are asked just before.
+ * Policies that pick a backend server without probing for load. Each is a
+ * function with a context in a table, so that adding one doesn't touch the
+ * placement code. With "load", the default, servers that report their load are
+ * probed just before a send instead.
  */
 #ifndef MP_CORE_POLICY_H
 #define MP_CORE_POLICY_H
@@ -10,7 +11,7 @@
 
 struct place_policy {
 	const char *name;
-	bool probes_load; /* servers that tell their load are asked for it */
+	bool probes_load; /* probe the servers that report their load */
 	/* Returns the index of one of n > 0 servers. */
 	unsigned (*pick)(void *priv, struct backend *const *servers, unsigned n,
 			 GRand *rand);
--- a/core/retry_after.c
+++ b/core/retry_after.c
@@ -2,24 +2,24 @@
 #include "core/retry_after.h"
 
 /*
- * A crowd that was refused together must not return together, so returns
- * are spread evenly. A caller that can still be on time is told to come back
- * within a fifth of its target, so that it can be; room that is short only
- * for a moment is there by then.
+ * Callers refused at the same time must not retry at the same time, so retries
+ * are spread evenly over a range. A caller whose request can still meet its
+ * target retries within a fifth of it, so that it still can; a short lack of
+ * capacity is over by then.
  */
 static const double SOON_BASE = 0.08;
 static const double SOON_SPREAD = 0.12;
 
 /*
- * One that can't comes back as late as it will wait for: that is a third of
- * its time, and leaves the servers to the others in between.
+ * The others retry as late as they will wait, a third of their remaining time,
+ * which leaves the servers to other requests in between.
  */
 static const double LATE_BASE = 0.2;
 static const double LATE_SPREAD = 0.13;
 
 /*
- * retry_after_s() returns seconds, from what is known of the request, the
- * time that the caller still has and a random number in 0..1.
+ * retry_after_s() returns the delay for a request whose caller has left_ms of
+ * its time left. `random` is in 0..1.
  */
 double retry_after_s(const struct admit_request *r, int64_t left_ms,
 		     double random)
@@ -27,18 +27,18 @@
 	double left = left_ms > 0 ? (double)left_ms : 0;
 	double late = left * (LATE_BASE + LATE_SPREAD * random);
 	double soon = r->target_ms * (SOON_BASE + SOON_SPREAD * random);
-	struct admit_request then = *r;
+	struct admit_request retried = *r;
 
 	if (!mechanisms.return_time)
 		return retry_after_default_s(random);
-	then.spent_ms += soon;
-	return (admit_can_be_on_time(&then) && soon < late ? soon : late) /
+	retried.spent_ms += soon;
+	return (admit_can_be_on_time(&retried) && soon < late ? soon : late) /
 	       1000;
 }
 
 /*
- * retry_after_resume_s() returns in how many seconds callers are to come back when no
- * server can be used for resume_in_ms; jitter keeps them from coming at once.
+ * retry_after_resume_s() returns the delay if no server is available for
+ * resume_in_ms. Jitter keeps callers from retrying at the same time.
  */
 double retry_after_resume_s(const struct admit_request *r, int64_t resume_in_ms,
 			    double random)
@@ -48,11 +48,12 @@
 }
 
 /*
- * retry_after_turn_s() returns in how many seconds a caller gets its turn when all
- * servers are in need and so many wait here: those that were refused before it are
- * told to come before it, each its own time, as far apart as servers take requests.
- * *last_turn_ms is the last of these; one that comes back no more gets no turn. 0:
- * nothing is known, as this instance may not send to these servers.
+ * retry_after_turn_s() returns the delay if all servers have a limit and
+ * `waiting` requests are queued here. Refused callers get consecutive turns,
+ * spaced by the rate at which the servers accept requests. *last_turn_ms is the
+ * latest turn given out; a caller whose time ends before its turn doesn't take
+ * one. Returns 0 if the delay is unknown because this instance may not send to
+ * these servers.
  */
 double retry_after_turn_s(int64_t *last_turn_ms, const struct limit_room *room,
 			  unsigned waiting, int64_t left_ms, int64_t now_ms)
@@ -69,7 +70,9 @@
 	return (double)(at - now_ms) / 1000;
 }
 
-/* retry_after_default_s() is for requests of which nothing is known. */
+/*
+ * retry_after_default_s() returns the delay if nothing is known of the request.
+ */
 double retry_after_default_s(double random)
 {
 	return RETRY_AFTER_DEFAULT_MS * (0.5 + random) / 1000;
--- a/core/retry_after.h
+++ b/core/retry_after.h
@@ -1,6 +1,6 @@
 /*
- * When a refused caller is to come back. Callers honour it up to a third of
- * the time they have left, each on a new connection.
+ * Retry-After values for refused requests. Callers respect them up to a third
+ * of their remaining time, and retry on a new connection.
  */
 #ifndef MP_CORE_RETRY_AFTER_H
 #define MP_CORE_RETRY_AFTER_H
--- a/core/server_state.c
+++ b/core/server_state.c
@@ -3,22 +3,24 @@
 #include "core/server_state.h"
 
 /*
- * Jitter, as a share of the backoff: instances that a server turned away at the same
- * time must not resume at the same time.
+ * Jitter, as a share of the backoff: instances that a server refused at the
+ * same time must not resume at the same time.
  */
 static const double RESUME_JITTER = 0.25;
 
-/* Caps the conversion to milliseconds; longer than any lifetime. */
+/* Cap for the conversion to milliseconds; longer than any server runs. */
 static const int64_t BACKOFF_MAX_MS = INT64_MAX / 4;
 
+/* Hash function of by_start. */
 static guint hash_start(gconstpointer key)
 {
 	const struct server_state *s = key;
-	guint64 born = s->server_start_ms;
+	guint64 start_ms = s->server_start_ms;
 
-	return g_str_hash(s->id) ^ g_int64_hash(&born);
+	return g_str_hash(s->id) ^ g_int64_hash(&start_ms);
 }
 
+/* Equality function of by_start. */
 static gboolean same_start(gconstpointer a, gconstpointer b)
 {
 	const struct server_state *x = a, *y = b;
@@ -27,6 +29,7 @@
 	       !strcmp(x->id, y->id);
 }
 
+/* Destructor of by_start's elements. */
 static void free_state(gpointer data)
 {
 	struct server_state *s = data;
@@ -35,7 +38,7 @@
 	g_free(s);
 }
 
-/* server_states_init() makes an empty table. */
+/* server_states_init() initialises an empty table. */
 void server_states_init(struct server_states *all)
 {
 	all->by_start =
@@ -43,7 +46,7 @@
 	g_queue_init(&all->unlisted);
 }
 
-/* server_state_find() looks up the state of a lifetime; NULL: there is none. */
+/* server_state_find() returns the state of a server's start, or NULL. */
 struct server_state *server_state_find(struct server_states *all,
 				       const char *id, uint64_t server_start_ms)
 {
@@ -54,8 +57,8 @@
 }
 
 /*
- * server_state_get() references the state of a lifetime, created if needed. The caller
- * gives it back with server_state_release().
+ * server_state_get() returns a reference to the state of a server's start,
+ * created if needed. The caller drops it with server_state_release().
  */
 struct server_state *server_state_get(struct server_states *all, const char *id,
 				      uint64_t server_start_ms)
@@ -76,7 +79,7 @@
 	return s;
 }
 
-/* Whether the state matters if the lifetime is listed again. */
+/* Returns whether the state would matter if the server were listed again. */
 static bool is_in_force(const struct server_state *s)
 {
 	if (s->superseded)
@@ -85,7 +88,10 @@
 	       (s->limit && s->limit->advertised.named);
 }
 
-/* server_state_release() drops a reference. */
+/*
+ * server_state_release() drops a reference. State that is still in effect is
+ * kept after the last one.
+ */
 void server_state_release(struct server_state *s)
 {
 	struct server_states *all = s->owner;
@@ -103,15 +109,16 @@
 				    g_queue_pop_tail(&all->unlisted));
 }
 
+/* Converts a duration to an integer, capped at BACKOFF_MAX_MS. */
 static int64_t to_ms(double ms)
 {
 	return ms < (double)BACKOFF_MAX_MS ? (int64_t)ms : BACKOFF_MAX_MS;
 }
 
 /*
- * server_state_back_off() records that the server asked for a backoff of backoff_s
- * seconds from now on; the latest end wins. `random` in 0..1 is the jitter. Returns
- * whether the end has moved.
+ * server_state_back_off() records that the server requested a backoff of
+ * backoff_s seconds from now on; the latest end counts. `random`, in 0..1,
+ * scales the jitter. Returns whether the end has changed.
  */
 bool server_state_back_off(struct server_state *s, double backoff_s,
 			   double random, int64_t now_ms)
@@ -129,8 +136,9 @@
 }
 
 /*
- * server_state_answered() records that a request sent at sent_ms was answered without
- * another backoff.
+ * server_state_answered() records that a request sent at sent_ms was answered
+ * without another backoff. Only one sent after the backoff ends the resuming
+ * state.
  */
 void server_state_answered(struct server_state *s, int64_t sent_ms)
 {
--- a/core/server_state.h
+++ b/core/server_state.h
@@ -1,10 +1,11 @@
 /*
- * What one lifetime of a backend server has announced in its responses: a request
- * limit, a backoff, that it drains. It is kept by id and start rather than with the
- * entry of the list, because an entry may lapse and return while the server runs on.
+ * State that one start of a backend server has announced in its responses: a
+ * request limit, a backoff, or that it is draining. It is keyed by id and start
+ * instead of being part of the list entry, because an entry may expire and
+ * return while the server keeps running.
  *
- * State without an entry is kept as long as anything in it is in force, up to
- * SERVER_STATE_UNLISTED_MAX lifetimes, least recently listed evicted first.
+ * State without an entry is kept as long as any of it is in effect, for up to
+ * SERVER_STATE_UNLISTED_MAX starts; the least recently listed is evicted first.
  */
 #ifndef MP_CORE_SERVER_STATE_H
 #define MP_CORE_SERVER_STATE_H
@@ -22,43 +23,43 @@
 	SERVER_STATE_UNLISTED_MAX = 1024,
 };
 
-/* What it takes, by its own word, and this instance's part of that. */
+/* A server's advertised limit and this instance's share of it. */
 struct backend_limit {
 	struct server_limit advertised;
 	struct limit_share share;
-	double published_per_s; /* as it was last logged, and told */
-	int64_t next_publish_ms; /* the peers are told again then that it stands */
-	unsigned end_publishes_left; /* times that its end is yet to be told */
-	int64_t next_probe_ms; /* an instance that holds nothing may look then */
-	int64_t borrowed_until_ms; /* a send that a peer gave up counts until then */
-	bool probe_allowed; /* it may send one request, to hear whether it ended */
+	double published_per_s;	     /* as last logged and sent to peers */
+	int64_t next_publish_ms;     /* when to confirm it to peers again */
+	unsigned end_publishes_left; /* times to tell peers that it has ended */
+	int64_t next_probe_ms;	     /* earliest probe without a share */
+	int64_t borrowed_until_ms;   /* expiry of a send that a peer gave up */
+	bool probe_allowed; /* one send, to test whether the limit has ended */
 };
 
 struct server_states;
 
 struct server_state {
 	char id[BACKEND_NAME_MAX];
-	uint64_t
-		server_start_ms; /* distinguishes starts under one id; 0: unknown */
+	/* Distinguishes starts under the same id; 0: unknown. */
+	uint64_t server_start_ms;
 	struct server_states *owner;
 	unsigned refs;
 	bool unlisted;		     /* unreferenced, queued for eviction */
 	bool superseded;	     /* a later start of the server is known */
-	struct backend_limit *limit; /* NULL: it has never named one */
-	bool seen_unlimited; /* it has answered here without naming a limit */
-	bool limit_invalid;  /* the last limit was no number; for the log */
+	struct backend_limit *limit; /* NULL: never advertised */
+	bool seen_unlimited; /* has answered here without advertising a limit */
+	bool limit_invalid;  /* the last limit wasn't a number; for the log */
 	bool invalid_logged;
 	bool draining;		       /* announced by the server; permanent */
-	unsigned drain_publishes_left; /* announcements to peers still due */
-	int64_t next_drain_publish_ms; /* when the next one is */
-	int64_t backoff_until_ms;      /* requested by the server; 0: never */
-	int64_t resume_ms; /* backoff_until_ms plus this instance's jitter */
-	bool resuming;	   /* nothing has been answered since the backoff */
+	unsigned drain_publishes_left; /* times to tell peers of draining */
+	int64_t next_drain_publish_ms;
+	int64_t backoff_until_ms; /* requested by the server; 0: never */
+	int64_t resume_ms;	  /* backoff_until_ms plus local jitter */
+	bool resuming; /* no request has been answered since the backoff */
 };
 
 struct server_states {
 	GHashTable *by_start; /* struct server_state *, by id and start */
-	GQueue unlisted;      /* unreferenced ones, most recent first */
+	GQueue unlisted;      /* unreferenced states, most recent first */
 };
 
 void server_states_init(struct server_states *all);
