--- a/tests/servers.h
+++ b/tests/servers.h
@@ -1,4 +1,4 @@
-/* A service with a number of backend servers, for tests of decisions. */
+/* Fixture: a service with a number of backend servers. */
 #ifndef MP_TESTS_SERVERS_H
 #define MP_TESTS_SERVERS_H
 
@@ -13,13 +13,14 @@
 	int n;
 };
 
+/* Ignores removals. */
 static inline void servers_on_gone(void *priv, struct backend *b, bool ended)
 {
 }
 
 /*
- * Server i stands in data centre "dc-(i mod 2)", and has answered before: it names
- * no limit.
+ * Server i is in data centre "dc-(i mod 2)" and has answered before without
+ * advertising a limit.
  */
 static inline struct servers *servers_new(int n, unsigned slots)
 {
@@ -45,7 +46,10 @@
 	return s;
 }
 
-/* Answers show that beyond 80% of the slots all takes 1.7 times as long. */
+/*
+ * Records answers of servers whose service time grows to 1.7 times beyond 80%
+ * of their slots.
+ */
 static inline void servers_record_knee(struct service *s, unsigned slots)
 {
 	struct work_model w;
@@ -63,6 +67,7 @@
 	}
 }
 
+/* Removes the servers and frees the fixture. */
 static inline void servers_free(struct servers *s)
 {
 	for (int i = 0; i < s->n; i++)
--- a/tests/test_availability.c
+++ b/tests/test_availability.c
@@ -1,18 +1,19 @@
-/* Tests of core/availability: the one check of what a server takes. */
+/* Tests of core/availability: whether a server may be sent to. */
 #include "tests/unit.h"
 
 #include "tests/servers.h"
 
 #include "core/availability.h"
 
+/* Returns the reason not to send to b. */
 static enum hold hold_of(const struct backend *b, enum send_kind kind,
 			 int64_t now_ms)
 {
 	return backend_availability(b, kind, now_ms).hold;
 }
 
-/* Holds for whatever is sent, also for what was chosen before. */
-static void test_holds_for_all(void **state)
+/* Reasons that apply to all kinds of sends, also to committed ones. */
+static void test_holds_for_all_kinds(void **state)
 {
 	static const enum send_kind kinds[] = {SEND_PRIMARY, SEND_HEDGE,
 					       SEND_COMMITTED};
@@ -41,7 +42,7 @@
 	servers_free(s);
 }
 
-/* One at a time after a backoff, but for what is committed. */
+/* After a backoff, one request at a time, except committed sends. */
 static void test_resuming(void **state)
 {
 	struct servers *s = servers_new(1, 4);
@@ -57,6 +58,10 @@
 	servers_free(s);
 }
 
+/*
+ * A limit without a share holds uncommitted sends. A probe is allowed, but not
+ * as a hedge.
+ */
 static void test_limit(void **state)
 {
 	struct servers *s = servers_new(1, 4);
@@ -72,8 +77,8 @@
 	servers_free(s);
 }
 
-/* The first resumption counts, and only while no server is available. */
-static void test_service_resume(void **state)
+/* The earliest resumption counts, and only while no server is available. */
+static void test_service_resume_ms(void **state)
 {
 	struct servers *s = servers_new(3, 4);
 
@@ -89,8 +94,10 @@
 	servers_free(s);
 }
 
-/* A lapse of the entry or another address changes nothing that was said. */
-static void test_outlives_the_entry(void **state)
+/*
+ * Announced state survives an expired entry and a new address, but no restart.
+ */
+static void test_state_outlives_entry(void **state)
 {
 	struct servers *s = servers_new(1, 4);
 	struct backend_entry e = s->list[0]->entry;
@@ -116,11 +123,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_holds_for_all),
+		cmocka_unit_test(test_holds_for_all_kinds),
 		cmocka_unit_test(test_resuming),
 		cmocka_unit_test(test_limit),
-		cmocka_unit_test(test_service_resume),
-		cmocka_unit_test(test_outlives_the_entry),
+		cmocka_unit_test(test_service_resume_ms),
+		cmocka_unit_test(test_state_outlives_entry),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_backend.c
+++ b/tests/test_backend.c
@@ -1,4 +1,4 @@
-/* Tests of core/backend: servers that are put, start again and leave. */
+/* Tests of core/backend: adding, restarting and removing servers. */
 #include "tests/unit.h"
 
 #include "tests/servers.h"
@@ -6,19 +6,21 @@
 #include "core/availability.h"
 #include "core/backend.h"
 
-struct hearing {
+struct removals {
 	int gone, ended;
 };
 
+/* Counts removals. */
 static void on_gone(void *priv, struct backend *b, bool ended)
 {
-	struct hearing *h = priv;
+	struct removals *r = priv;
 
 	assert_true(b->gone);
-	h->gone++;
-	h->ended += ended;
+	r->gone++;
+	r->ended += ended;
 }
 
+/* Returns an entry of server i-1. */
 static struct backend_entry entry(uint64_t server_start_ms, uint64_t sequence)
 {
 	struct backend_entry e = {.slots = 2,
@@ -32,20 +34,21 @@
 	return e;
 }
 
+/* Returns server i-1. */
 static struct backend *find(struct backend_set *s)
 {
 	return g_hash_table_lookup(s->by_id, "i-1");
 }
 
-/* A later start under the same id begins with nothing of the earlier one. */
-static void test_starts_again(void **state)
+/* A restarted server has no state of its earlier start. */
+static void test_restart(void **state)
 {
-	struct hearing h = {0};
+	struct removals r = {0};
 	struct backend_set s;
 	struct backend_entry e = entry(1000, 5);
 	struct backend *first;
 
-	backend_set_init(&s, on_gone, &h);
+	backend_set_init(&s, on_gone, &r);
 	backend_set_put(&s, &e, 100);
 	first = backend_ref(find(&s));
 	first->in_flight = 2;
@@ -57,7 +60,7 @@
 	first->entry.draining = true;
 	e = entry(2000, 0);
 	backend_set_put(&s, &e, 200);
-	assert_int_equal(h.ended, 1);
+	assert_int_equal(r.ended, 1);
 	assert_true(first->gone);
 	assert_ptr_not_equal(find(&s), first);
 	assert_int_equal(find(&s)->in_flight, 0);
@@ -68,26 +71,26 @@
 	assert_false(find(&s)->excluded);
 	assert_false(find(&s)->entry.draining);
 	assert_int_equal(find(&s)->service->backends->len, 1);
-	/* What the earlier start had said comes late and says nothing. */
+	/* A delayed entry of the earlier start is ignored. */
 	e = entry(1000, 9);
 	e.draining = true;
 	backend_set_put(&s, &e, 210);
 	assert_false(find(&s)->entry.draining);
-	assert_int_equal(h.gone, 1);
+	assert_int_equal(r.gone, 1);
 	backend_unref(first);
 	backend_set_remove(&s, "i-1");
-	assert_int_equal(h.gone, 2);
-	assert_int_equal(h.ended, 1);
+	assert_int_equal(r.gone, 2);
+	assert_int_equal(r.ended, 1);
 }
 
-/* An earlier word of the same start changes nothing. */
-static void test_order_of_words(void **state)
+/* An entry with a lower sequence number of the same start is ignored. */
+static void test_entry_order(void **state)
 {
-	struct hearing h = {0};
+	struct removals r = {0};
 	struct backend_set s;
 	struct backend_entry e = entry(1000, 5);
 
-	backend_set_init(&s, on_gone, &h);
+	backend_set_init(&s, on_gone, &r);
 	e.draining = true;
 	backend_set_put(&s, &e, 100);
 	e = entry(1000, 4);
@@ -96,16 +99,18 @@
 	e = entry(1000, 6);
 	backend_set_put(&s, &e, 120);
 	assert_false(find(&s)->entry.draining);
-	assert_int_equal(h.gone, 0);
-	/* Another address is another server, which may serve on. */
+	assert_int_equal(r.gone, 0);
+	/*
+	 * With another address it is another server; the first may still run.
+	 */
 	e.addr.sin_port = 81;
 	backend_set_put(&s, &e, 130);
-	assert_int_equal(h.gone, 1);
-	assert_int_equal(h.ended, 0);
+	assert_int_equal(r.gone, 1);
+	assert_int_equal(r.ended, 0);
 	backend_set_remove(&s, "i-1");
 }
 
-/* Until it is known whether it names a limit it gets one request at a time. */
+/* One request at a time until it is known whether the server has a limit. */
 static void test_unknown_limit(void **state)
 {
 	struct servers *s = servers_new(1, 4);
@@ -120,8 +125,8 @@
 	servers_free(s);
 }
 
-/* Its limit counts by what this instance holds of it; it may look once besides. */
-static void test_limited(void **state)
+/* Sends under a limit need a share of it, or are an allowed probe. */
+static void test_limit(void **state)
 {
 	struct servers *s = servers_new(1, 4);
 	struct backend *b = s->list[0];
@@ -148,10 +153,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_starts_again),
-		cmocka_unit_test(test_order_of_words),
+		cmocka_unit_test(test_restart),
+		cmocka_unit_test(test_entry_order),
 		cmocka_unit_test(test_unknown_limit),
-		cmocka_unit_test(test_limited),
+		cmocka_unit_test(test_limit),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_place.c
+++ b/tests/test_place.c
@@ -1,6 +1,6 @@
 /*
- * Tests of core/place and core/outlier: whom to ask, who has room,
- * what is expected, and when a second server is asked.
+ * Tests of core/place and core/outlier: which servers are probed, their
+ * capacity and expected latency, and when no further reports are waited for.
  */
 #include "tests/unit.h"
 
@@ -8,6 +8,7 @@
 #include "core/place.h"
 #include "tests/servers.h"
 
+/* Returns a query from data centre dc-0. */
 static struct place_query query(struct servers *s, GRand *rand)
 {
 	return (struct place_query){.service = s->service,
@@ -16,14 +17,15 @@
 				    .rand = rand};
 }
 
-static void test_choose(void **state)
+/* Excluded and draining servers are never probed. */
+static void test_select_probes(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(1);
 	struct servers *s = servers_new(8, 2);
 	struct place_query q = query(s, rand);
 	struct backend *out[PLACE_PROBE_MAX], *avoid[] = {s->list[0]};
 
-	/* First the own data centre; those to avoid and leaving ones never. */
+	/* The first round probes the own data centre only. */
 	s->list[2]->entry.draining = true;
 	q.avoid = avoid;
 	q.navoid = 1;
@@ -47,8 +49,8 @@
 	g_rand_free(rand);
 }
 
-/* Of 1,500 servers asked, how many stand in the own data centre. */
-static int own_asked(const struct place_query *q)
+/* Returns how many of 1,500 probes go to the own data centre. */
+static int own_dc_probes(const struct place_query *q)
 {
 	struct backend *out[PLACE_PROBE_MAX];
 	int own = 0;
@@ -62,8 +64,8 @@
 }
 
 /*
- * Later rounds ask in the own data centre more often than elsewhere, but there
- * too; of servers known to be full, and slow, first the idle ones elsewhere.
+ * Later rounds mostly probe the own data centre, but others too. If its servers
+ * are known to be full, they probe the idle ones in other data centres first.
  */
 static void test_other_dc(void **state)
 {
@@ -71,23 +73,23 @@
 	struct servers *s = servers_new(20, 2);
 	struct place_query q = query(s, rand);
 
-	/* With equal servers the lowest three of 10 and 10: nearly all own. */
-	assert_in_range(own_asked(&q), 1200, 1499);
+	/* Of 10 equal servers in each, nearly all probes stay in the own. */
+	assert_in_range(own_dc_probes(&q), 1200, 1499);
 	for (int i = 0; i < 20; i += 2) {
 		s->list[i]->load.running = 2;
 		s->list[i]->load.at_ms = q.now_ms - 50;
 	}
-	assert_int_equal(own_asked(&q), 0);
-	/* The report is old by now: it says nothing. */
+	assert_int_equal(own_dc_probes(&q), 0);
+	/* An outdated report is ignored. */
 	q.now_ms += 1000;
-	assert_in_range(own_asked(&q), 1200, 1499);
+	assert_in_range(own_dc_probes(&q), 1200, 1499);
 	servers_free(s);
 	g_rand_free(rand);
 }
 
 /*
- * Servers with an idle connection go first; one that has just joined is asked
- * now and then all the same.
+ * Servers with an idle connection are probed first, but a new one without is
+ * probed now and then.
  */
 static void test_connections(void **state)
 {
@@ -95,24 +97,24 @@
 	struct servers *s = servers_new(10, 2);
 	struct place_query q = query(s, rand);
 	struct backend *out[PLACE_PROBE_MAX];
-	int asked = 0, idle;
+	int probed = 0, idle;
 
 	for (int i = 0; i < 10; i++)
 		s->list[i]->idle_conns = i < 9 ? &idle : NULL;
 	for (int i = 0; i < 1000; i++) {
 		assert_int_equal(place_select_probes(&q, 2, out), 2);
 		for (int k = 0; k < 2; k++)
-			asked += out[k] == s->list[9];
+			probed += out[k] == s->list[9];
 	}
-	assert_in_range(asked, 5, 60);
+	assert_in_range(probed, 5, 60);
 	for (int i = 0; i < 10; i++)
 		s->list[i]->idle_conns = NULL;
 	servers_free(s);
 	g_rand_free(rand);
 }
 
-/* A server in trouble is asked when nobody else is left, and only then. */
-static void test_trouble(void **state)
+/* A server that keeps failing is only probed if no other is left. */
+static void test_deprioritized(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(2);
 	struct servers *s = servers_new(4, 2);
@@ -128,9 +130,9 @@
 	}
 	assert_int_equal(place_select_probes(&q, 4, out), 4);
 	assert_ptr_equal(out[3], s->list[0]);
-	/* It is forgiven by itself. */
+	/* The score decays. */
 	assert_true(outlier_score(s->list[0], q.now_ms + 15000) < 0.1);
-	/* And sooner by good outcomes; never below zero. */
+	/* Successes reduce it faster, but not below zero. */
 	for (int i = 0; i < 10; i++)
 		outlier_record(s->list[0], -0.7, q.now_ms);
 	assert_true(outlier_score(s->list[0], q.now_ms) == 0);
@@ -138,7 +140,8 @@
 	g_rand_free(rand);
 }
 
-static unsigned room(unsigned slots)
+/* Returns how many requests a server with a knee accepts. */
+static unsigned capacity(unsigned slots)
 {
 	struct servers *s = servers_new(1, slots);
 	struct backend *b = s->list[0];
@@ -154,19 +157,20 @@
 }
 
 /*
- * Beyond 80% of the slots all work takes 1.7 times as long: one request more
- * must not make a server do less.
+ * If service times grow to 1.7 times beyond 80% of the slots, a server must not
+ * get a request that lowers its throughput.
  */
-static void test_room(void **state)
+static void test_capacity(void **state)
 {
-	assert_int_equal(room(1), 1);
-	assert_int_equal(room(2), 2);
-	assert_int_equal(room(3), 3);
-	assert_int_equal(room(4), 3);
-	assert_int_equal(room(8), 6);
-	assert_int_equal(room(0), 0);
+	assert_int_equal(capacity(1), 1);
+	assert_int_equal(capacity(2), 2);
+	assert_int_equal(capacity(3), 3);
+	assert_int_equal(capacity(4), 3);
+	assert_int_equal(capacity(8), 6);
+	assert_int_equal(capacity(0), 0);
 }
 
+/* The estimate includes slowdown, load and warm-up; the rank the round trip. */
 static void test_estimate(void **state)
 {
 	struct servers *s = servers_new(2, 2);
@@ -176,7 +180,7 @@
 	servers_record_knee(s->service, 2);
 
 	assert_true(base > 59 && base < 61);
-	/* The way counts beside the work, once it is known. */
+	/* The rank adds the round trip, once it is known. */
 	assert_true(place_rank_ms(far, "dc-1", base, 0) < base + 0.1);
 	for (int i = 0; i < 50; i++)
 		place_record_rtt(far, 6);
@@ -195,7 +199,7 @@
 	b->load.running = 2;
 	assert_true(place_estimate_ms(b, 60, 100000) > 2 * base);
 	b->load.running = 0;
-	/* A new server's report tells how slow it is: it counts once. */
+	/* A new server's slowdown counts once, as reported. */
 	b->warm_up_until_ms = 100001;
 	b->load.slowdown_pct = 200;
 	assert_true(place_estimate_ms(b, 60, 100000) > 1.9 * base);
@@ -206,11 +210,11 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_choose),
+		cmocka_unit_test(test_select_probes),
 		cmocka_unit_test(test_other_dc),
-		cmocka_unit_test(test_trouble),
+		cmocka_unit_test(test_deprioritized),
 		cmocka_unit_test(test_connections),
-		cmocka_unit_test(test_room),
+		cmocka_unit_test(test_capacity),
 		cmocka_unit_test(test_estimate),
 	};
 
--- a/tests/test_policy.c
+++ b/tests/test_policy.c
@@ -1,7 +1,7 @@
 /*
- * Tests of core/policy and place_candidates: no policy ever picks a server
- * that drains, is drained by the configuration, was used up or is off the
- * list (seeded random sets), and each policy's own rule holds.
+ * Tests of core/policy and place_candidates(): with random sets of servers, no
+ * policy picks one that is draining or excluded by the configuration. Each
+ * policy follows its own rule.
  */
 #include "tests/unit.h"
 
@@ -9,6 +9,7 @@
 #include "core/policy.h"
 #include "tests/servers.h"
 
+/* Returns the server that a policy picks, or NULL. */
 static struct backend *pick(const struct place_policy *pol, struct servers *s,
 			    GRand *rand)
 {
@@ -24,6 +25,7 @@
 	return b;
 }
 
+/* No policy picks an ineligible server, and each picks one if there is any. */
 static void test_never_ineligible(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(3);
@@ -59,6 +61,7 @@
 	g_rand_free(rand);
 }
 
+/* `least` picks the fewest requests in flight; `rr` picks all equally often. */
 static void test_least_and_rr(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(4);
@@ -88,7 +91,7 @@
 	g_rand_free(rand);
 }
 
-/* p2c never picks the more loaded of two when it sees both. */
+/* p2c never picks the more loaded server of a sample with both. */
 static void test_p2c_prefers_light(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(5);
@@ -99,7 +102,7 @@
 	s->list[0]->load.running = 10;
 	for (int i = 0; i < 1000; i++)
 		heavy += pick(p2c, s, rand) == s->list[0];
-	/* only when both samples hit server 0: about a quarter */
+	/* Only if both samples are server 0, which is a quarter of them. */
 	assert_true(heavy < 350);
 	servers_free(s);
 	g_rand_free(rand);
