--- a/core/backend.h
+++ b/core/backend.h
@@ -68,10 +68,9 @@
 	bool deprioritized;	  /* as last logged */
 	bool unreachable;	  /* the last load probe failed; for the log */
 	bool process_ended;	  /* known for certain */
-	void *end_check;  /* traffic/: pending check of whether it ended */
-	void *idle_conns; /* traffic/: idle connections */
-	void *busy_conns; /* traffic/: connections with a pending or unread
-			     response */
+	void *end_check;	  /* traffic/: pending check of process_ended */
+	void *idle_conns;	  /* traffic/: idle connections */
+	void *busy_conns; /* traffic/: those with a pending or held response */
 };
 
 /* Whether a service's backend servers report their load. */
@@ -96,9 +95,7 @@
 	GHashTable *services; /* name -> struct service * */
 	GHashTable *by_id;    /* id -> struct backend * */
 	struct server_states states;
-	/*
-	 * b is no longer listed; `ended`: its process is known to have ended.
-	 */
+	/* Called on removal; `ended`: b's process is known to have ended. */
 	void (*on_gone)(void *priv, struct backend *b, bool ended);
 	void *priv;
 };
--- a/core/latency_model.c
+++ b/core/latency_model.c
@@ -298,12 +298,12 @@
 				 int64_t now_ms)
 {
 	double most = 0;
-	unsigned room = slots;
+	unsigned allowed = slots;
 
 	for (unsigned n = 1; n <= slots; n++)
 		most = fmax(most, throughput(m, n, slots, now_ms));
-	while (room > 1 &&
-	       throughput(m, room, slots, now_ms) < THROUGHPUT_SHARE_MIN * most)
-		room--;
-	return room;
+	while (allowed > 1 && throughput(m, allowed, slots, now_ms) <
+				      THROUGHPUT_SHARE_MIN * most)
+		allowed--;
+	return allowed;
 }
--- a/core/outlier.c
+++ b/core/outlier.c
@@ -20,9 +20,7 @@
  */
 static const double OUTLIER_THRESHOLD = 1.5;
 
-/*
- * outlier_is_deprioritized() returns whether b is used only as a last resort.
- */
+/* outlier_is_deprioritized() returns whether b is only a last resort. */
 bool outlier_is_deprioritized(const struct backend *b, int64_t now_ms)
 {
 	return outlier_score(b, now_ms) >= OUTLIER_THRESHOLD;
@@ -44,11 +42,13 @@
  */
 void outlier_record(struct backend *b, double weight, int64_t now_ms)
 {
-	double t = outlier_score(b, now_ms) + weight;
+	double score = outlier_score(b, now_ms) + weight;
 
 	if (!mechanisms.outliers)
 		return;
-	b->failure_score = t < 0 ? 0 : t > OUTLIER_MAX ? OUTLIER_MAX : t;
+	b->failure_score = score < 0		 ? 0
+			   : score > OUTLIER_MAX ? OUTLIER_MAX
+						 : score;
 	b->failure_score_ms = now_ms;
 	if (outlier_is_deprioritized(b, now_ms) == b->deprioritized)
 		return;
--- a/core/place.c
+++ b/core/place.c
@@ -267,10 +267,10 @@
 bool place_has_capacity(const struct backend *b, int64_t now_ms)
 {
 	struct load_report l = current_load(b);
-	unsigned room = latency_max_concurrency(
+	unsigned allowed = latency_max_concurrency(
 		&b->service->model, usable_slots(b, l.slots), now_ms);
 
-	return l.running + l.waiting + 1 <= room;
+	return l.running + l.waiting + 1 <= allowed;
 }
 
 /*
