--- a/core/drain_gossip.h
+++ b/core/drain_gossip.h
@@ -12,7 +12,7 @@
 
 struct drain_gossip_item {
 	char id[BACKEND_NAME_MAX];
-	uint64_t born_ms;
+	uint64_t server_start_ms;
 };
 
 struct drain_gossip {
--- a/core/retry_after.h
+++ b/core/retry_after.h
@@ -1,6 +1,6 @@
 /*
- * When a refused caller is to come back. Callers honour it up to a third of
- * the time they have left, each on a new connection.
+ * Retry-After values for refused requests. Callers respect them up to a third
+ * of their remaining time, and retry on a new connection.
  */
 #ifndef MP_CORE_RETRY_AFTER_H
 #define MP_CORE_RETRY_AFTER_H
@@ -8,15 +8,15 @@
 #include "core/admit.h"
 #include "core/limit_capacity.h"
 
-enum { RETRY_AFTER_NO_TARGET_MS = 1000 };
+enum { RETRY_AFTER_DEFAULT_MS = 1000 };
 
 double retry_after_s(const struct admit_request *r, int64_t left_ms,
 		     double random);
 double retry_after_resume_s(const struct admit_request *r, int64_t resume_in_ms,
 			    double random);
-double retry_after_turn_s(int64_t *promised_ms,
+double retry_after_turn_s(int64_t *last_turn_ms,
 			  const struct limit_capacity *room, unsigned waiting,
 			  int64_t left_ms, int64_t now_ms);
-double retry_after_plain_s(double random);
+double retry_after_default_s(double random);
 
 #endif
--- a/tests/servers.h
+++ b/tests/servers.h
@@ -1,4 +1,4 @@
-/* A service with a number of backend servers, for tests of decisions. */
+/* Fixture: a service with a number of backend servers. */
 #ifndef MP_TESTS_SERVERS_H
 #define MP_TESTS_SERVERS_H
 
@@ -13,13 +13,14 @@
 	int n;
 };
 
+/* Ignores removals. */
 static inline void servers_on_gone(void *priv, struct backend *b, bool ended)
 {
 }
 
 /*
- * Server i stands in data centre "dc-(i mod 2)", and has answered before: it names
- * no limit.
+ * Server i is in data centre "dc-(i mod 2)" and has answered before without
+ * advertising a limit.
  */
 static inline struct servers *servers_new(int n, unsigned slots)
 {
@@ -39,30 +40,34 @@
 		s->list[i] = g_hash_table_lookup(s->set.by_id, e.id);
 		s->list[i]->load.slots = slots;
 		s->list[i]->load.slowdown_pct = 100;
-		s->list[i]->state->was_free = true;
+		s->list[i]->state->seen_unlimited = true;
 	}
 	s->service = backend_set_service(&s->set, LSTR("harta"));
 	return s;
 }
 
-/* Answers show that beyond 80% of the slots all takes 1.7 times as long. */
-static inline void servers_teach_knee(struct service *s, unsigned slots)
+/*
+ * Records answers of servers whose service time grows to 1.7 times beyond 80%
+ * of their slots.
+ */
+static inline void servers_record_knee(struct service *s, unsigned slots)
 {
 	struct work_model w;
 
-	learn_work_init(&w, 180);
+	work_model_init(&w, 180);
 	for (int i = 0; i < 200; i++) {
 		for (unsigned n = 1; n <= slots; n++) {
-			struct server_view v = {.at_work = n,
+			struct server_view v = {.active_requests = n,
 						.slots = slots,
 						.slowdown_pct = 100};
 
-			learn_answer(&s->model, &w, &v,
-				     n > 0.8 * slots ? 102 : 60, 100000);
+			latency_record(&s->model, &w, &v,
+				       n > 0.8 * slots ? 102 : 60, 100000);
 		}
 	}
 }
 
+/* Removes the servers and frees the fixture. */
 static inline void servers_free(struct servers *s)
 {
 	for (int i = 0; i < s->n; i++)
--- a/tests/test_backend.c
+++ b/tests/test_backend.c
@@ -1,4 +1,4 @@
-/* Tests of core/backend: servers that are put, start again and leave. */
+/* Tests of core/backend: adding, restarting and removing servers. */
 #include "tests/unit.h"
 
 #include "tests/servers.h"
@@ -6,23 +6,26 @@
 #include "core/availability.h"
 #include "core/backend.h"
 
-struct hearing {
+struct removals {
 	int gone, ended;
 };
 
+/* Counts removals. */
 static void on_gone(void *priv, struct backend *b, bool ended)
 {
-	struct hearing *h = priv;
+	struct removals *r = priv;
 
 	assert_true(b->gone);
-	h->gone++;
-	h->ended += ended;
+	r->gone++;
+	r->ended += ended;
 }
 
-static struct backend_entry entry(uint64_t born_ms, uint64_t sequence)
+/* Returns an entry of server i-1. */
+static struct backend_entry entry(uint64_t server_start_ms, uint64_t sequence)
 {
-	struct backend_entry e = {
-		.slots = 2, .born_ms = born_ms, .sequence = sequence};
+	struct backend_entry e = {.slots = 2,
+				  .server_start_ms = server_start_ms,
+				  .sequence = sequence};
 
 	g_strlcpy(e.id, "i-1", sizeof(e.id));
 	g_strlcpy(e.service, "harta", sizeof(e.service));
@@ -31,62 +34,63 @@
 	return e;
 }
 
+/* Returns server i-1. */
 static struct backend *find(struct backend_set *s)
 {
 	return g_hash_table_lookup(s->by_id, "i-1");
 }
 
-/* A later start under the same id begins with nothing of the earlier one. */
-static void test_starts_again(void **state)
+/* A restarted server has no state of its earlier start. */
+static void test_restart(void **state)
 {
-	struct hearing h = {0};
+	struct removals r = {0};
 	struct backend_set s;
 	struct backend_entry e = entry(1000, 5);
 	struct backend *first;
 
-	backend_set_init(&s, on_gone, &h);
+	backend_set_init(&s, on_gone, &r);
 	backend_set_put(&s, &e, 100);
 	first = backend_ref(find(&s));
 	first->in_flight = 2;
 	first->peers_in_flight = 1;
-	first->trouble = 3;
-	first->drained = true;
+	first->failure_score = 3;
+	first->excluded = true;
 	first->load.running = 2;
-	first->warm_until_ms = 9000;
+	first->warm_up_until_ms = 9000;
 	first->entry.draining = true;
 	e = entry(2000, 0);
 	backend_set_put(&s, &e, 200);
-	assert_int_equal(h.ended, 1);
+	assert_int_equal(r.ended, 1);
 	assert_true(first->gone);
 	assert_ptr_not_equal(find(&s), first);
 	assert_int_equal(find(&s)->in_flight, 0);
 	assert_int_equal(find(&s)->peers_in_flight, 0);
 	assert_int_equal(find(&s)->load.running, 0);
-	assert_int_equal(find(&s)->warm_until_ms, 0);
-	assert_true(find(&s)->trouble == 0);
-	assert_false(find(&s)->drained);
+	assert_int_equal(find(&s)->warm_up_until_ms, 0);
+	assert_true(find(&s)->failure_score == 0);
+	assert_false(find(&s)->excluded);
 	assert_false(find(&s)->entry.draining);
 	assert_int_equal(find(&s)->service->backends->len, 1);
-	/* What the earlier start had said comes late and says nothing. */
+	/* A delayed entry of the earlier start is ignored. */
 	e = entry(1000, 9);
 	e.draining = true;
 	backend_set_put(&s, &e, 210);
 	assert_false(find(&s)->entry.draining);
-	assert_int_equal(h.gone, 1);
+	assert_int_equal(r.gone, 1);
 	backend_unref(first);
 	backend_set_remove(&s, "i-1");
-	assert_int_equal(h.gone, 2);
-	assert_int_equal(h.ended, 1);
+	assert_int_equal(r.gone, 2);
+	assert_int_equal(r.ended, 1);
 }
 
-/* An earlier word of the same start changes nothing. */
-static void test_order_of_words(void **state)
+/* An entry with a lower sequence number of the same start is ignored. */
+static void test_entry_order(void **state)
 {
-	struct hearing h = {0};
+	struct removals r = {0};
 	struct backend_set s;
 	struct backend_entry e = entry(1000, 5);
 
-	backend_set_init(&s, on_gone, &h);
+	backend_set_init(&s, on_gone, &r);
 	e.draining = true;
 	backend_set_put(&s, &e, 100);
 	e = entry(1000, 4);
@@ -95,62 +99,64 @@
 	e = entry(1000, 6);
 	backend_set_put(&s, &e, 120);
 	assert_false(find(&s)->entry.draining);
-	assert_int_equal(h.gone, 0);
-	/* Another address is another server, which may serve on. */
+	assert_int_equal(r.gone, 0);
+	/*
+	 * With another address it is another server; the first may still run.
+	 */
 	e.addr.sin_port = 81;
 	backend_set_put(&s, &e, 130);
-	assert_int_equal(h.gone, 1);
-	assert_int_equal(h.ended, 0);
+	assert_int_equal(r.gone, 1);
+	assert_int_equal(r.ended, 0);
 	backend_set_remove(&s, "i-1");
 }
 
-/* Until it is known whether it names a limit it gets one request at a time. */
+/* One request at a time until it is known whether the server has a limit. */
 static void test_unknown_limit(void **state)
 {
 	struct servers *s = servers_new(1, 4);
 	struct backend *b = s->list[0];
 
-	b->state->was_free = false;
-	assert_true(backend_takes(b, SEND_PRIMARY, 0));
+	b->state->seen_unlimited = false;
+	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
 	b->in_flight = 1;
-	assert_false(backend_takes(b, SEND_PRIMARY, 0));
-	b->state->was_free = true;
-	assert_true(backend_takes(b, SEND_PRIMARY, 0));
+	assert_false(backend_is_available(b, SEND_PRIMARY, 0));
+	b->state->seen_unlimited = true;
+	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
 	servers_free(s);
 }
 
-/* Its limit counts by what this instance holds of it; it may look once besides. */
-static void test_limited(void **state)
+/* Sends under a limit need a share of it, or are an allowed probe. */
+static void test_limit(void **state)
 {
 	struct servers *s = servers_new(1, 4);
 	struct backend *b = s->list[0];
 	struct limit_instance all[] = {{1, 1}};
 	struct limit_instances sharers = {all, 1};
-	struct limit_quota part = limit_quota(1, b->start, &sharers);
+	struct limit_quota part = limit_quota(1, b->start_hash, &sharers);
 
 	b->state->limit = g_new0(struct backend_limit, 1);
-	b->state->limit->said =
+	b->state->limit->advertised =
 		(struct server_limit){.limited = true, .per_s = 1};
 	assert_true(backend_is_limited(b));
-	assert_false(backend_takes(b, SEND_PRIMARY, 0));
-	b->state->limit->looks = true;
-	assert_true(backend_takes(b, SEND_PRIMARY, 0));
-	b->state->limit->looks = false;
+	assert_false(backend_is_available(b, SEND_PRIMARY, 0));
+	b->state->limit->probe_allowed = true;
+	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
+	b->state->limit->probe_allowed = false;
 	limit_share_set_quota(&b->state->limit->share, &part, 0);
-	assert_false(backend_takes(b, SEND_PRIMARY, 900));
-	assert_true(backend_takes(b, SEND_PRIMARY, 1000));
-	b->state->limit->said.limited = false;
-	assert_true(backend_takes(b, SEND_PRIMARY, 0));
+	assert_false(backend_is_available(b, SEND_PRIMARY, 900));
+	assert_true(backend_is_available(b, SEND_PRIMARY, 1000));
+	b->state->limit->advertised.limited = false;
+	assert_true(backend_is_available(b, SEND_PRIMARY, 0));
 	servers_free(s);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_starts_again),
-		cmocka_unit_test(test_order_of_words),
+		cmocka_unit_test(test_restart),
+		cmocka_unit_test(test_entry_order),
 		cmocka_unit_test(test_unknown_limit),
-		cmocka_unit_test(test_limited),
+		cmocka_unit_test(test_limit),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_backend_histories.c
+++ b/tests/test_backend_histories.c
@@ -49,7 +49,7 @@
 		*c = change(0, "", "ready");
 		g_snprintf(c->entry.id, sizeof(c->entry.id), "i-%d-%u", i,
 			   ++alive);
-		c->entry.born_ms = (uint64_t)w->now;
+		c->entry.server_start_ms = (uint64_t)w->now;
 	} else if (c->entry.draining) {
 		c->removed = true;
 	} else {
--- a/tests/test_backend_list.c
+++ b/tests/test_backend_list.c
@@ -74,12 +74,12 @@
 }
 
 static void write_entry(struct backend_list *l, uint64_t offset,
-			uint64_t born_ms, uint64_t sequence, const char *what,
-			int64_t now)
+			uint64_t server_start_ms, uint64_t sequence,
+			const char *what, int64_t now)
 {
 	struct backend_change c = change(offset, "i-1", what);
 
-	c.entry.born_ms = born_ms;
+	c.entry.server_start_ms = server_start_ms;
 	c.entry.sequence = sequence;
 	backend_list_apply_record(l, &c, now);
 }
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -189,8 +189,8 @@
 	tell_sharers(b, 0);
 	warm_up(b);
 	*news = (struct limit_gossip){.peer = PEER_ID, .n = 2};
-	news->items[0] = (struct limit_gossip_item){backend_of(b, 0)->start,
-						    true, 0, 20, 10};
+	news->items[0] = (struct limit_gossip_item){
+		backend_of(b, 0)->start_hash, true, 0, 20, 10};
 	news->items[1] = (struct limit_gossip_item){12345, true, 0, 20, 10};
 	mailbox_send(&b->traffic.inbox, TO_TRAFFIC_LIMITS, news);
 	bench_run_ms(b, 5);
@@ -204,7 +204,7 @@
 	 * received the limit.
 	 */
 	b->servers[0].limit = NULL;
-	backend_of(b, 0)->state->limit->looks = true;
+	backend_of(b, 0)->state->limit->probe_allowed = true;
 	call_times(b, 10);
 	assert_false(backend_is_limited(backend_of(b, 0)));
 	bench_free(b);
@@ -287,7 +287,7 @@
 		assert_true(c->open);
 		grant = g_new0(struct limit_borrow_msg, 1);
 		*grant = (struct limit_borrow_msg){true, PEER_ID, 0,
-						   backend_of(b, 0)->start,
+						   backend_of(b, 0)->start_hash,
 						   s->want.serial - !asked};
 		mailbox_send(&b->traffic.inbox, TO_TRAFFIC_LIMIT_CALL, grant);
 		bench_run_until(b, c);
@@ -330,7 +330,7 @@
 	assert_true(share->tokens < before - 0.9);
 	/* There are more, but a request of an own caller has just run short. */
 	assert_true(share->tokens >= 1);
-	backend_of(b, 0)->service->pressed_ms = clock_ms();
+	backend_of(b, 0)->service->capacity_missed_ms = clock_ms();
 	request_grant(b);
 	assert_int_equal(b->traffic.counters.limits_given, 1);
 	bench_free(b);
--- a/tests/test_server_backoff.c
+++ b/tests/test_server_backoff.c
@@ -251,7 +251,8 @@
 	news->n = 2;
 	g_strlcpy(news->items[0].id, "i-0", BACKEND_NAME_MAX);
 	g_strlcpy(news->items[1].id, "i-1", BACKEND_NAME_MAX);
-	news->items[1].born_ms = 9; /* another start than the listed one */
+	news->items[1].server_start_ms =
+		9; /* another start than the listed one */
 	mailbox_send(&b->traffic.inbox, TO_TRAFFIC_DRAIN, news);
 	bench_run_ms(b, 5);
 	bench_put(b, 0, false);
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -91,7 +91,7 @@
 	upstream_drop(u);
 	bench_run_ms(b, 20);
 	assert_int_equal(b->servers[0].running, 0);
-	assert_null(backend_of(b, 0)->in_use);
+	assert_null(backend_of(b, 0)->busy_conns);
 	bench_free(b);
 }
 
@@ -169,7 +169,7 @@
 		int first;
 
 		b->servers[0].reports_load = b->servers[1].reports_load = false;
-		s->load_support = LOAD_NOT_TOLD;
+		s->load_support = LOAD_NOT_REPORTED;
 		b->traffic.budget_params.ratio =
 			b->traffic.budget_params.slack = 0;
 		c = bench_call(b, idempotent ? "GET" : "POST", 1000);
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -84,12 +84,12 @@
 
 	ev_timer_stop(t->loop, &c->retry_timer);
 	http_client_close(&c->http);
-	b->ended = b->ended || ended;
+	b->process_ended = b->process_ended || ended;
 	log_end(b, c->digests->len, outcome, why, clock_ms() - c->since_ms);
 	t->counters.ends_seen += ended;
 	for (guint i = 0; ended && i < c->digests->len; i++)
 		report_crash(t, b, g_array_index(c->digests, uint64_t, i));
-	b->check = NULL;
+	b->crash_check = NULL;
 	g_array_unref(c->digests);
 	backend_unref(b);
 	g_free(c);
@@ -250,18 +250,18 @@
  */
 void crash_check_begin(struct traffic *t, struct backend *b, uint64_t digest)
 {
-	struct crash_check *c = b->check;
+	struct crash_check *c = b->crash_check;
 
 	if (!mechanisms.quarantine || backend_is_draining(b))
 		return;
-	if (b->ended) {
+	if (b->process_ended) {
 		report_crash(t, b, digest);
 		return;
 	}
 	if (b->gone)
 		return;
 	if (!c)
-		c = b->check = start_check(t, b);
+		c = b->crash_check = start_check(t, b);
 	if (!c) {
 		log_end(b, 1, "unknown", "it can't be asked", 0);
 		return;
--- a/traffic/drain_gossip.c
+++ b/traffic/drain_gossip.c
@@ -45,23 +45,24 @@
 	GHashTableIter it;
 	gpointer v;
 
-	g_hash_table_iter_init(&it, t->backends.states.all);
+	g_hash_table_iter_init(&it, t->backends.states.by_start);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct server_state *s = v;
 		struct drain_gossip_item *item;
 
-		if (!s->drain_tells)
+		if (!s->drain_publishes_left)
 			continue;
-		if (news.n == DRAIN_GOSSIP_MAX || now_ms < s->drain_tell_ms) {
+		if (news.n == DRAIN_GOSSIP_MAX ||
+		    now_ms < s->next_drain_publish_ms) {
 			more = true;
 			continue;
 		}
 		item = &news.items[news.n++];
 		g_strlcpy(item->id, s->id, sizeof(item->id));
-		item->born_ms = s->born_ms;
-		s->drain_tells--;
-		s->drain_tell_ms = now_ms + RESEND_MS;
-		more = more || s->drain_tells;
+		item->server_start_ms = s->server_start_ms;
+		s->drain_publishes_left--;
+		s->next_drain_publish_ms = now_ms + RESEND_MS;
+		more = more || s->drain_publishes_left;
 	}
 	if (!news.n)
 		return more;
@@ -95,8 +96,8 @@
 	if (s->draining)
 		return;
 	s->draining = true;
-	s->drain_tells = ANNOUNCEMENTS;
-	s->drain_tell_ms = 0;
+	s->drain_publishes_left = ANNOUNCEMENTS;
+	s->next_drain_publish_ms = 0;
 	log_draining(s, "answer", b);
 	if (send_due(t, clock_ms()))
 		start_timer(t);
@@ -107,16 +108,16 @@
 {
 	for (unsigned i = 0; i < news->n; i++) {
 		const struct drain_gossip_item *it = &news->items[i];
-		struct server_state *s = server_state_get(&t->backends.states,
-							  it->id, it->born_ms);
+		struct server_state *s = server_state_get(
+			&t->backends.states, it->id, it->server_start_ms);
 		const struct backend *b =
 			g_hash_table_lookup(t->backends.by_id, it->id);
 
 		if (!s->draining)
 			log_draining(s, "peer", b && b->state == s ? b : NULL);
 		s->draining = true;
-		if (s->drain_tells)
-			s->drain_tells--;
+		if (s->drain_publishes_left)
+			s->drain_publishes_left--;
 		server_state_release(s);
 	}
 }
@@ -132,10 +133,10 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct server_state *s = ((struct backend *)v)->state;
 
-		if (!s->draining || s->drain_tells)
+		if (!s->draining || s->drain_publishes_left)
 			continue;
-		s->drain_tells = 1;
-		s->drain_tell_ms =
+		s->drain_publishes_left = 1;
+		s->next_drain_publish_ms =
 			now_ms +
 			g_rand_int_range(t->rand, 0, NEW_PEER_JITTER_MS);
 		start_timer(t);
--- a/traffic/inflight_report.c
+++ b/traffic/inflight_report.c
@@ -49,7 +49,7 @@
 /* Schedules a report after a request was sent to or returned from a server. */
 void inflight_report_changed(struct traffic *t, const struct service *s)
 {
-	if (service_tells_load(s) || t->inflight_report_pending)
+	if (service_reports_load(s) || t->inflight_report_pending)
 		return;
 	t->inflight_report_pending = true;
 	arm_timer(t, COALESCE_MS);
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -15,24 +15,24 @@
  * Determines what covers a send: this instance's share, a peer's grant, or the
  * permission to probe whether the limit still stands.
  */
-static enum limit_payer choose_payer(struct backend_limit *l, int64_t now_ms)
+static enum limit_charge choose_payer(struct backend_limit *l, int64_t now_ms)
 {
 	if (limit_share_allows(&l->share, now_ms)) {
 		limit_share_take(&l->share, now_ms);
-		return LIMIT_PAYS_OWN;
+		return LIMIT_CHARGE_OWN;
 	}
 	/*
 	 * A grant that has just expired was still valid when the server was
 	 * chosen.
 	 */
-	if (l->granted_ms) {
-		l->granted_ms = 0;
-		return LIMIT_PAYS_PEER;
+	if (l->borrowed_until_ms) {
+		l->borrowed_until_ms = 0;
+		return LIMIT_CHARGE_PEER;
 	}
-	mp_invariant(l->looks,
+	mp_invariant(l->probe_allowed,
 		     "a send that neither a share, a grant nor a probe covers");
-	l->looks = false;
-	return LIMIT_PAYS_LOOK;
+	l->probe_allowed = false;
+	return LIMIT_CHARGE_PROBE;
 }
 
 /* Why the server gets the request, as logged. */
@@ -58,9 +58,9 @@
 		 "age_ms=%" G_GINT64_FORMAT " sharers=%u own_per_s=%.3f "
 		 "left=%.2f out=%u",
 		 (int)r->call.id.len, r->call.id.ptr, s->backend->entry.id,
-		 s->backend->service->name, l->said.per_s, cause_name(s),
-		 payers[s->payer], s->sent_ms - l->said.since_ms, t->lifetime,
-		 s->sent_ms - t->started_ms,
+		 s->backend->service->name, l->advertised.per_s, cause_name(s),
+		 payers[s->payer], s->sent_ms - l->advertised.since_ms,
+		 t->lifetime, s->sent_ms - t->started_ms,
 		 t->peers.sharers ? t->peers.sharers->len : 0,
 		 l->share.quota.rate_s, l->share.tokens, l->share.in_flight);
 }
@@ -70,7 +70,7 @@
 {
 	struct backend *b = s->backend;
 
-	s->payer = LIMIT_PAYS_NONE;
+	s->payer = LIMIT_CHARGE_NONE;
 	if (!backend_is_limited(b))
 		return;
 	s->payer = choose_payer(b->state->limit, s->sent_ms);
@@ -80,9 +80,9 @@
 /* Called when a send can no longer reach its server. */
 void limit_sends_finish(struct send *s, int64_t now_ms)
 {
-	if (s->payer == LIMIT_PAYS_OWN)
+	if (s->payer == LIMIT_CHARGE_OWN)
 		limit_share_send_done(&s->backend->state->limit->share, now_ms);
-	s->payer = LIMIT_PAYS_NONE;
+	s->payer = LIMIT_CHARGE_NONE;
 }
 
 /* Passes a request or a grant to the control thread, which sends it. */
@@ -166,7 +166,8 @@
 	struct backend *b;
 
 	if (!s || s->waiting.length ||
-	    (s->pressed_ms && now_ms - s->pressed_ms < SHORTAGE_MS))
+	    (s->capacity_missed_ms &&
+	     now_ms - s->capacity_missed_ms < SHORTAGE_MS))
 		return;
 	b = find_surplus(s, now_ms);
 	if (!b)
@@ -177,7 +178,7 @@
 	mp_event(EV_LIMIT_GIVEN, G_LOG_LEVEL_INFO,
 		 "backend=%s service=%s peer_id=%08x left=%.2f", b->entry.id,
 		 s->name, request->from, b->state->limit->share.tokens);
-	grant.resource = b->start;
+	grant.resource = b->start_hash;
 	send_to_peers(t, &grant);
 }
 
@@ -192,7 +193,7 @@
 				 now_ms))
 		return;
 	t->counters.limits_granted++;
-	b->state->limit->granted_ms = limit_grant_expiry_ms(now_ms);
+	b->state->limit->borrowed_until_ms = limit_grant_expiry_ms(now_ms);
 	request_offer_capacity(t, b);
 }
 
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -50,8 +50,9 @@
 		 "asked_ago_ms=%" G_GINT64_FORMAT
 		 " heard_ago_ms=%" G_GINT64_FORMAT
 		 " own_per_s=%.3f own_depth=%.2f",
-		 b->entry.id, b->service->name, b->state->limit->said.per_s,
-		 before, limit_source_name(w->source), clock_ms() - w->sent_ms,
+		 b->entry.id, b->service->name,
+		 b->state->limit->advertised.per_s, before,
+		 limit_source_name(w->source), clock_ms() - w->sent_ms,
 		 clock_ms() - w->received_ms, p->rate_s, p->depth);
 }
 
@@ -59,9 +60,9 @@
 static void log_invalid(struct traffic *t, struct backend *b, struct lstr text)
 {
 	t->counters.limits_bad++;
-	if (b->state->limit_bad)
+	if (b->state->limit_invalid)
 		return;
-	b->state->limit_bad = true;
+	b->state->limit_invalid = true;
 	mp_event(EV_LIMIT_BAD, G_LOG_LEVEL_WARNING,
 		 "backend=%s service=%s limit=%.*s; what was known stays in "
 		 "force",
@@ -80,7 +81,8 @@
 		sharers = (struct limit_instances){
 			(const struct limit_instance *)(void *)known->data,
 			known->len};
-	part = limit_quota(b->state->limit->said.per_s, b->start, &sharers);
+	part = limit_quota(b->state->limit->advertised.per_s, b->start_hash,
+			   &sharers);
 	limit_share_set_quota(&b->state->limit->share, &part, clock_ms());
 }
 
@@ -102,10 +104,10 @@
 static bool is_reportable(const struct backend_limit *l,
 			  enum limit_change change)
 {
-	double step = fabs(l->said.per_s - l->told_per_s);
+	double step = fabs(l->advertised.per_s - l->published_per_s);
 
 	if (change == LIMIT_CHANGED)
-		return step > MIN_REPORTED_CHANGE * l->told_per_s;
+		return step > MIN_REPORTED_CHANGE * l->published_per_s;
 	return change != LIMIT_UNCHANGED;
 }
 
@@ -117,24 +119,24 @@
 			 const struct limit_report *w)
 {
 	int64_t now_ms = clock_ms();
-	double before = b->state->limit ? b->state->limit->said.per_s : 0;
+	double before = b->state->limit ? b->state->limit->advertised.per_s : 0;
 	enum limit_change change;
 
 	if (!b->state->limit && !w->limited)
 		return false;
 	if (!b->state->limit) {
 		b->state->limit = g_new0(struct backend_limit, 1);
-		limit_share_init(&b->state->limit->share, b->state->was_free,
-				 now_ms);
+		limit_share_init(&b->state->limit->share,
+				 b->state->seen_unlimited, now_ms);
 	}
-	change = server_limit_update(&b->state->limit->said, w, now_ms);
+	change = server_limit_update(&b->state->limit->advertised, w, now_ms);
 	if (change == LIMIT_UNCHANGED)
 		return false;
 	update_share(t, b);
 	start_timer(t, TICK_MS);
 	if (!is_reportable(b->state->limit, change))
 		return false;
-	b->state->limit->told_per_s = b->state->limit->said.per_s;
+	b->state->limit->published_per_s = b->state->limit->advertised.per_s;
 	log_change(b, change, w, before);
 	return true;
 }
@@ -166,17 +168,17 @@
 {
 	int spread = g_rand_int_range(t->rand, 0, RESEND_JITTER_MS);
 
-	b->state->limit->tell_ms = now_ms + RESEND_MS + spread;
+	b->state->limit->next_publish_ms = now_ms + RESEND_MS + spread;
 }
 
 /* Appends the state of b's limit. */
 static void add_item(struct limit_gossip *news, const struct backend *b,
 		     int64_t now_ms)
 {
-	const struct server_limit *l = &b->state->limit->said;
+	const struct server_limit *l = &b->state->limit->advertised;
 
 	news->items[news->n++] = (struct limit_gossip_item){
-		.backend = b->start,
+		.backend = b->start_hash,
 		.limited = l->limited,
 		.per_s = l->per_s,
 		.sent_ago_ms = age_ms(l->sent_ms, now_ms),
@@ -205,15 +207,16 @@
 		log_invalid(t, b, info->limit_text);
 		return;
 	}
-	b->state->limit_bad = false;
-	b->state->was_free = b->state->was_free ||
-			     (!w.limited && source == LIMIT_BY_RESPONSE);
+	b->state->limit_invalid = false;
+	b->state->seen_unlimited = b->state->seen_unlimited ||
+				   (!w.limited && source == LIMIT_BY_RESPONSE);
 	if (!apply_update(t, b, &w))
 		return;
 	schedule_resend(t, b, w.received_ms);
-	if (!b->state->limit->said.limited) {
-		b->state->limit->end_tells = END_SENDS;
-		b->state->limit->tell_ms = w.received_ms + END_RESEND_MS;
+	if (!b->state->limit->advertised.limited) {
+		b->state->limit->end_publishes_left = END_SENDS;
+		b->state->limit->next_publish_ms =
+			w.received_ms + END_RESEND_MS;
 	}
 	add_item(&news, b, w.received_ms);
 	send_news(t, &news);
@@ -229,7 +232,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct backend *b = v;
 
-		if (b->start == start)
+		if (b->start_hash == start)
 			return b;
 	}
 	return NULL;
@@ -286,21 +289,21 @@
 	struct backend_limit *l = b->state->limit;
 
 	if (l->share.quota.held || !hears_majority(t) ||
-	    !server_limit_is_stale(&l->said, now_ms)) {
-		l->looks = false;
-		l->look_ms = 0;
+	    !server_limit_is_stale(&l->advertised, now_ms)) {
+		l->probe_allowed = false;
+		l->next_probe_ms = 0;
 		return;
 	}
-	if (l->look_ms == 0)
-		l->look_ms =
+	if (l->next_probe_ms == 0)
+		l->next_probe_ms =
 			now_ms +
 			g_rand_int_range(t->rand, 0,
 					 PROBE_SPREAD_MS *
 						 (int)t->peers.sharers->len);
-	if (now_ms < l->look_ms)
+	if (now_ms < l->next_probe_ms)
 		return;
-	l->look_ms = now_ms + PROBE_RETRY_MS;
-	l->looks = true;
+	l->next_probe_ms = now_ms + PROBE_RETRY_MS;
+	l->probe_allowed = true;
 }
 
 /* Returns whether this instance must announce the state of b's limit again. */
@@ -308,9 +311,9 @@
 {
 	bool concerned = backend_is_limited(b)
 				 ? b->state->limit->share.quota.held
-				 : b->state->limit->end_tells > 0;
+				 : b->state->limit->end_publishes_left > 0;
 
-	return concerned && now_ms >= b->state->limit->tell_ms;
+	return concerned && now_ms >= b->state->limit->next_publish_ms;
 }
 
 /* Schedules the next announcement of b's limit, which is being sent now. */
@@ -320,8 +323,8 @@
 		schedule_resend(t, b, now_ms);
 		return;
 	}
-	b->state->limit->end_tells--;
-	b->state->limit->tell_ms = now_ms + END_RESEND_MS;
+	b->state->limit->end_publishes_left--;
+	b->state->limit->next_publish_ms = now_ms + END_RESEND_MS;
 }
 
 /* Announces the limits and ends that are due, and plans probes. */
@@ -338,8 +341,8 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct backend *b = v;
 
-		if (!b->state->limit ||
-		    (!backend_is_limited(b) && !b->state->limit->end_tells))
+		if (!b->state->limit || (!backend_is_limited(b) &&
+					 !b->state->limit->end_publishes_left))
 			continue;
 		any = true;
 		plan_probe(t, b, now_ms);
@@ -370,7 +373,7 @@
 		if (!backend_is_limited(b))
 			continue;
 		update_share(t, b);
-		b->state->limit->tell_ms = 0;
+		b->state->limit->next_publish_ms = 0;
 		start_timer(t,
 			    g_rand_int_range(t->rand, 0, NEW_PEER_JITTER_MS));
 	}
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -33,7 +33,7 @@
 			   c->name, quantiles[i],
 			   hist_quantile(&c->latency, quantiles[i]));
 	buf_printf(out, "class_work_ms{class=\"%s\"} %.1f\n", c->name,
-		   c->work.usual_ms);
+		   c->work.median_ms);
 }
 
 /* Writes the state of a backend server as this instance sees it. */
@@ -47,17 +47,18 @@
 		const char *name;
 		double value;
 	} gauges[] = {
-		{"draining", backend_is_draining(b) || b->drained},
+		{"draining", backend_is_draining(b) || b->excluded},
 		{"in_flight", b->in_flight},
 		{"running", l->running},
 		{"waiting", l->waiting},
 		{"slots", l->slots},
 		{"slowdown_pct", l->slowdown_pct},
 		{"load_age_ms", l->at_ms ? (double)(now_ms - l->at_ms) : -1},
-		{"trouble", outlier_trouble(b, now_ms)},
+		{"trouble", outlier_score(b, now_ms)},
 		{"backoff_left_ms",
 		 backoff_left_ms > 0 ? (double)backoff_left_ms : 0},
-		{"limit_per_s", limited ? b->state->limit->said.per_s : -1},
+		{"limit_per_s",
+		 limited ? b->state->limit->advertised.per_s : -1},
 		{"limit_own_per_s",
 		 limited ? b->state->limit->share.quota.rate_s : -1},
 	};
--- a/traffic/probe.c
+++ b/traffic/probe.c
@@ -61,9 +61,9 @@
 /* Logs the first failed probe of b, and the first success after failures. */
 static void record_reachability(struct backend *b, int err, int64_t now_ms)
 {
-	if (b->down == (err != 0))
+	if (b->unreachable == (err != 0))
 		return;
-	b->down = err != 0;
+	b->unreachable = err != 0;
 	if (err)
 		mp_event(EV_BACKEND_DOWN, G_LOG_LEVEL_MESSAGE,
 			 "backend=%s service=%s err=%s "
@@ -96,14 +96,14 @@
 	struct service *s = p->backend->service;
 
 	if (info->has_load) {
-		s->load_support = LOAD_TOLD;
+		s->load_support = LOAD_REPORTED;
 		p->backend->load = info->load;
 		p->backend->load.at_ms = now_ms;
-		place_note_offer(p->backend, now_ms);
+		place_record_load(p->backend, now_ms);
 		return true;
 	}
 	if (status == 200 && s->load_support == LOAD_UNKNOWN)
-		s->load_support = LOAD_NOT_TOLD;
+		s->load_support = LOAD_NOT_REPORTED;
 	return false;
 }
 
@@ -135,8 +135,8 @@
 	} else {
 		record_reachability(p->backend, 0, now_ms);
 		if (!p->new_connection)
-			place_note_way(p->backend,
-				       (double)(now_ms - p->sent_ms));
+			place_record_rtt(p->backend,
+					 (double)(now_ms - p->sent_ms));
 		p->answered = record_load_report(p, info, m->status, now_ms) &&
 			      p->upstream->http.reusable;
 		if (!p->answered)
@@ -160,7 +160,7 @@
 	 */
 	if (err != -EPIPE && err != -ECONNRESET && err != -ECANCELED) {
 		record_reachability(p->backend, err, now_ms);
-		outlier_note(p->backend, PROBE_FAILURE_WEIGHT, now_ms);
+		outlier_record(p->backend, PROBE_FAILURE_WEIGHT, now_ms);
 	}
 	probe_done(p, now_ms);
 }
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -77,15 +77,15 @@
 				       ? 0
 				       : now_ms - r->select_start_ms;
 	const struct work_model *work = &r->stats->work;
-	double factor = learn_usual_factor(&r->service->model);
+	double factor = latency_typical_factor(&r->service->model);
 
 	return (struct admit_request){
 		.target_ms = r->route->target_ms,
 		.spent_ms = r->spent_before_ms + (double)(now_ms - r->start_ms),
-		.usual_ms = work->usual_ms * factor,
-		.long_ms = work->long_ms * factor,
+		.median_ms = work->median_ms * factor,
+		.p75_ms = work->p75_ms * factor,
 		.waited_ms = (double)selecting_ms,
-		.short_room = learn_is_short(&r->service->model),
+		.capacity_short = latency_capacity_short(&r->service->model),
 	};
 }
 
@@ -124,7 +124,7 @@
 					     &view, resume_ms - now_ms, random)
 				   : retry_after_s(&view, left_ms, random);
 	double queue_s =
-		retry_after_turn_s(&r->service->promised_ms, &room,
+		retry_after_turn_s(&r->service->last_turn_ms, &room,
 				   r->service->waiting.length, left_ms, now_ms);
 
 	r->traffic->last_failure_ms = now_ms;
@@ -336,7 +336,7 @@
 		 t->config ? t->config->version : 0, clock_ms() - updated_ms);
 	exchange_write_refusal_headers(
 		&headers, call->id,
-		is_current ? 0 : retry_after_plain_s(g_rand_double(t->rand)));
+		is_current ? 0 : retry_after_default_s(g_rand_double(t->rand)));
 	http_conn_reply(c, &(struct http_reply){.status = status,
 						.headers = buf_lstr(&headers)});
 	buf_free(&headers);
@@ -364,8 +364,9 @@
 	struct traffic *t = r->traffic;
 	bool calm = r->start_ms - t->last_failure_ms > REFUSED_RETURN_MS;
 
-	patience_note(&r->stats->patience, left_ms);
-	patience_spread_note(&t->spread, &r->stats->patience, left_ms, calm);
+	caller_timeout_record(&r->stats->caller_timeout, left_ms);
+	caller_timeout_spread_record(&t->spread, &r->stats->caller_timeout,
+				     left_ms, calm);
 }
 
 /* Hashes what all attempts of a request have in common. */
@@ -410,8 +411,8 @@
 	r->log_deferred = !mp_log_routine();
 	if (call->has_time_left) {
 		record_time_limit(r, left_ms);
-		r->spent_before_ms = patience_spent_ms(&r->stats->patience,
-						       &t->spread, left_ms);
+		r->spent_before_ms = caller_timeout_spent_ms(
+			&r->stats->caller_timeout, &t->spread, left_ms);
 	}
 	left_ms -= reserve_ms;
 	r->deadline_ms =
--- a/traffic/request.h
+++ b/traffic/request.h
@@ -58,8 +58,8 @@
 	struct server_view server; /* the server's state at the send */
 	bool extra;		   /* not the first: uses the retry budget */
 	enum extra_cause cause;	   /* valid if extra */
-	enum limit_payer payer; /* whose share of the server's limit it used */
-	double estimate_ms;	/* expected duration at the send */
+	enum limit_charge payer; /* whose share of the server's limit it used */
+	double estimate_ms;	 /* expected duration at the send */
 	struct send_decision decision;
 };
 
--- a/traffic/request_queue.c
+++ b/traffic/request_queue.c
@@ -83,7 +83,7 @@
 {
 	struct admit_request view = request_admission_view(r, now_ms);
 
-	return r->select_start_ms + (int64_t)admit_wait_ms(&view);
+	return r->select_start_ms + (int64_t)admit_max_wait_ms(&view);
 }
 
 /* Returns whether r gets its turn in time with `ahead` requests before it. */
@@ -221,7 +221,7 @@
 	int64_t resume_ms = service_resume_ms(r->service, now_ms);
 
 	if (admit_can_be_on_time(&view) && r->select_reason != SELECT_HEDGE)
-		r->service->pressed_ms = now_ms;
+		r->service->capacity_missed_ms = now_ms;
 	probes_release(r);
 	if (r->select_reason == SELECT_HEDGE) {
 		request_select_end(r);
--- a/traffic/request_select.c
+++ b/traffic/request_select.c
@@ -85,20 +85,20 @@
 static bool start_probe_round(struct request *r, int64_t now_ms)
 {
 	struct backend *excluded[REQUEST_PROBES_MAX + REQUEST_SENDS_MAX];
-	struct backend *servers[PLACE_ASK_MAX];
+	struct backend *servers[PLACE_PROBE_MAX];
 	struct place_query q = {
 		.service = r->service,
 		.dc = r->traffic->settings->dc,
 		.avoid = excluded,
 		.navoid = excluded_backends(r, excluded),
 		.own_dc_only = r->probe_round == 0,
-		.second = r->select_reason == SELECT_HEDGE,
+		.hedge = r->select_reason == SELECT_HEDGE,
 		.now_ms = now_ms,
 		.rand = r->traffic->rand,
 	};
 	unsigned count =
 		r->probe_round == 0 ? PROBES_FIRST_ROUND : PROBES_LATER_ROUND;
-	unsigned n = place_choose(&q, count, servers);
+	unsigned n = place_select_probes(&q, count, servers);
 	bool first = r->nprobes == 0 && r->wait_count == 0;
 
 	n = probe_budget_take(
@@ -118,8 +118,8 @@
  */
 bool request_service_is_saturated(const struct request *r, int64_t now_ms)
 {
-	return r->service->pressed_ms &&
-	       now_ms - r->service->pressed_ms < SATURATION_MS;
+	return r->service->capacity_missed_ms &&
+	       now_ms - r->service->capacity_missed_ms < SATURATION_MS;
 }
 
 /* Returns whether the request may be sent to b. */
@@ -127,34 +127,36 @@
 			double estimate_ms, int64_t now_ms)
 {
 	struct admit_request view = request_admission_view(r, now_ms);
-	bool reports_load = service_tells_load(r->service);
+	bool reports_load = service_reports_load(r->service);
 	struct admit_server s = {
 		.work_ms = estimate_ms,
-		.way_ms = b->way_ms,
-		.has_room = place_has_room(b, now_ms),
-		.has_spare = place_has_spare(b, now_ms),
+		.rtt_ms = b->rtt_ms,
+		.has_capacity = place_has_capacity(b, now_ms),
+		.has_headroom = place_has_headroom(b, now_ms),
 	};
 
-	if (!backend_takes(b,
-			   r->select_reason == SELECT_HEDGE ? SEND_HEDGE
-							    : SEND_PRIMARY,
-			   now_ms))
+	if (!backend_is_available(b,
+				  r->select_reason == SELECT_HEDGE
+					  ? SEND_HEDGE
+					  : SEND_PRIMARY,
+				  now_ms))
 		return false;
 	if (r->select_reason == SELECT_HEDGE && r->rescue)
-		return admit_takes_rescue(
+		return admit_accepts_rescue(
 			&s, request_service_is_saturated(r, now_ms));
 	if (r->select_reason == SELECT_HEDGE && !reports_load) {
 		/*
 		 * The first copy went to a server of unknown speed, and each
 		 * server keeps a slot free anyway.
 		 */
-		s.has_spare = s.has_room;
-		return admit_takes_second(&view, &s, false);
+		s.has_headroom = s.has_capacity;
+		return admit_accepts_hedge(&view, &s, false);
 	}
 	if (r->select_reason == SELECT_HEDGE)
-		return admit_takes_second(
+		return admit_accepts_hedge(
 			&view, &s, request_service_is_saturated(r, now_ms));
-	return admit_takes(&view, &s, request_service_is_saturated(r, now_ms));
+	return admit_accepts(&view, &s,
+			     request_service_is_saturated(r, now_ms));
 }
 
 /* Returns the best eligible server that has answered a probe, or NULL. */
@@ -169,7 +171,7 @@
 
 		if (!p->upstream || !p->answered)
 			continue;
-		ms = place_estimate_ms(p->backend, r->stats->work.usual_ms,
+		ms = place_estimate_ms(p->backend, r->stats->work.median_ms,
 				       now_ms);
 		double rank = place_rank_ms(
 			p->backend, r->traffic->settings->dc, ms, now_ms);
@@ -211,7 +213,7 @@
 	struct place_query q = {.service = r->service,
 				.avoid = excluded,
 				.navoid = excluded_backends(r, excluded),
-				.second = r->select_reason == SELECT_HEDGE,
+				.hedge = r->select_reason == SELECT_HEDGE,
 				.now_ms = clock_ms()};
 
 	return place_candidates(&q);
@@ -229,7 +231,7 @@
 					   (struct backend **)servers->pdata,
 					   servers->len, r->traffic->rand)];
 	if (b)
-		b->picked = ++r->traffic->policy_picks;
+		b->last_picked = ++r->traffic->policy_picks;
 	g_ptr_array_unref(servers);
 	return b;
 }
@@ -247,7 +249,7 @@
 	for (guint i = 0; i < servers->len; i++) {
 		struct backend *b = servers->pdata[i];
 		double ms =
-			place_estimate_ms(b, r->stats->work.usual_ms, now_ms);
+			place_estimate_ms(b, r->stats->work.median_ms, now_ms);
 		/* Random tie-break, small against any real difference. */
 		double rank =
 			place_rank_ms(b, r->traffic->settings->dc, ms, now_ms) +
@@ -275,8 +277,8 @@
 	struct upstream *u;
 
 	probes_release(r);
-	b = r->service->policy->asks ? pick_without_load(r, now_ms)
-				     : pick_by_policy(r);
+	b = r->service->policy->probes_load ? pick_without_load(r, now_ms)
+					    : pick_by_policy(r);
 	u = b ? upstream_get(r->traffic, b, idle_since_ms) : NULL;
 	if (!u) {
 		request_queue_wait(r, now_ms);
@@ -313,12 +315,13 @@
 		abort_quarantined(r);
 		return;
 	}
-	if (!r->service->policy->asks || !service_tells_load(r->service)) {
+	if (!r->service->policy->probes_load ||
+	    !service_reports_load(r->service)) {
 		select_without_probes(r, now_ms);
 		return;
 	}
 	best = best_probe(r, now_ms);
-	if (best && place_is_prompt(best->backend, now_ms)) {
+	if (best && place_is_good_enough(best->backend, now_ms)) {
 		send_on_probe(r, best);
 		return;
 	}
@@ -374,7 +377,7 @@
 		for (unsigned i = 0; i < n; i++)
 			used = used || excluded[i] == b;
 		double ms =
-			place_estimate_ms(b, r->stats->work.usual_ms, now_ms);
+			place_estimate_ms(b, r->stats->work.median_ms, now_ms);
 
 		if (used || request_is_quarantined(r) ||
 		    !is_eligible(r, b, ms, now_ms))
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -61,8 +61,8 @@
 static void record_duration(struct request *r, const struct send *s,
 			    int64_t now_ms)
 {
-	learn_answer(&s->backend->service->model, &r->stats->work, &s->server,
-		     (double)(now_ms - s->sent_ms), now_ms);
+	latency_record(&s->backend->service->model, &r->stats->work, &s->server,
+		       (double)(now_ms - s->sent_ms), now_ms);
 }
 
 /*
@@ -105,7 +105,7 @@
 static void on_server_error(struct request *r, struct send *s,
 			    struct http_message *m, int64_t now_ms)
 {
-	outlier_note(s->backend, FAILURE_SERVER_ERROR, now_ms);
+	outlier_record(s->backend, FAILURE_SERVER_ERROR, now_ms);
 	if (r->route->idempotent && request_may_send_again(r)) {
 		http_message_free(m);
 		after_failed_send(r, 502, "server error");
@@ -130,13 +130,13 @@
 
 	/* A server that sheds load reports none; that isn't spare capacity. */
 	if (info->has_load && mechanisms.ask && info->backoff != BACKOFF_SET) {
-		s->backend->service->load_support = LOAD_TOLD;
+		s->backend->service->load_support = LOAD_REPORTED;
 		s->backend->load = info->load;
 		s->backend->load.at_ms = now_ms;
 	}
 	end_send(s);
 	upstream_put(u, now_ms);
-	if (place_has_room(s->backend, now_ms))
+	if (place_has_capacity(s->backend, now_ms))
 		request_offer_capacity(r->traffic, s->backend);
 	if (info->not_run) {
 		unsigned status = m->status;
@@ -153,12 +153,12 @@
 		 * the status.
 		 */
 		http_message_free(m);
-		outlier_note(s->backend, FAILURE_BROKEN, now_ms);
+		outlier_record(s->backend, FAILURE_BROKEN, now_ms);
 		after_failed_send(r, 502, "answer without receipt");
 	} else if (m->status >= 500) {
 		on_server_error(r, s, m, now_ms);
 	} else {
-		outlier_note(s->backend, SUCCESS_RELIEF, now_ms);
+		outlier_record(s->backend, SUCCESS_RELIEF, now_ms);
 		record_duration(r, s, now_ms);
 		request_forward_response(r, m);
 	}
@@ -218,9 +218,9 @@
 		if (err != -EPROTO)
 			crash_check_begin(r->traffic, s->backend, r->digest);
 	}
-	outlier_note(s->backend,
-		     err == -ETIMEDOUT ? FAILURE_TIMEOUT : FAILURE_BROKEN,
-		     clock_ms());
+	outlier_record(s->backend,
+		       err == -ETIMEDOUT ? FAILURE_TIMEOUT : FAILURE_BROKEN,
+		       clock_ms());
 	end_send(s);
 	if (!sent)
 		r->maybe_executed--;
@@ -254,10 +254,10 @@
 	if (!r->route->idempotent || r->nsends != 1)
 		return 0;
 	if (mechanisms.second)
-		return now_ms + hedge_delay_ms(r->stats->work.usual_ms,
-					       r->route->target_ms,
-					       now_ms - r->start_ms,
-					       service_tells_load(r->service));
+		return now_ms +
+		       hedge_delay_ms(r->stats->work.median_ms,
+				      r->route->target_ms, now_ms - r->start_ms,
+				      service_reports_load(r->service));
 	if (!mechanisms.rescue)
 		return 0;
 	r->rescue = true;
@@ -283,7 +283,7 @@
 			   .sent_ms = now_ms,
 			   .server = place_server_view(b, now_ms),
 			   .estimate_ms = place_estimate_ms(
-				   b, r->stats->work.usual_ms, now_ms)};
+				   b, r->stats->work.median_ms, now_ms)};
 	b->in_flight++;
 	inflight_report_changed(r->traffic, b->service);
 	r->maybe_executed++;
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -54,7 +54,7 @@
 		return c;
 	c = g_new0(struct class_stats, 1);
 	c->name = g_strdup(name);
-	learn_work_init(&c->work, target_ms);
+	work_model_init(&c->work, target_ms);
 	g_hash_table_insert(t->classes, c->name, c);
 	return c;
 }
@@ -186,7 +186,7 @@
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		struct backend *b = v;
 
-		b->drained = config_drains(t->config, b->entry.id);
+		b->excluded = config_drains(t->config, b->entry.id);
 	}
 }
 
--- a/traffic/traffic.h
+++ b/traffic/traffic.h
@@ -14,7 +14,7 @@
 #include "core/config.h"
 #include "core/dedup.h"
 #include "core/limit_gossip.h"
-#include "core/patience.h"
+#include "core/caller_timeout.h"
 #include "core/quarantine.h"
 #include "http/server.h"
 #include "misc/hist.h"
@@ -23,7 +23,7 @@
 struct class_stats {
 	char *name;
 	struct work_model work; /* distribution of the work time */
-	struct patience patience;
+	struct caller_timeout caller_timeout;
 	uint64_t requests, served, late, refused, unknown, failed, gone;
 	uint64_t sends, hedges, retries, broken;
 	struct hist latency; /* of served requests, in microseconds */
@@ -64,7 +64,7 @@
 	uint32_t lifetime; /* random id of this process start, for logs */
 	char *via;	   /* instance name sent to servers; NULL: none sent */
 	int64_t started_ms;
-	struct patience_spread spread;
+	struct caller_timeout_spread spread;
 	int64_t last_failure_ms; /* last refused or failed request */
 	GHashTable *classes;	 /* name -> struct class_stats * */
 	struct traffic_counters counters;
