--- a/app/instance.c
+++ b/app/instance.c
@@ -11,7 +11,7 @@
 static struct config *decode_operator(void *priv, struct lstr value,
 				      struct findings *f)
 {
-	return record_config(value, f);
+	return records_decode_config(value, f);
 }
 
 /*
--- a/caller/own.c
+++ b/caller/own.c
@@ -132,7 +132,7 @@
 /* Reads the headers of a call; returns why it is refused, or NULL. */
 static const char *read_call(const struct http_message *m,
 			     const struct service_opts *s,
-			     struct call_info *call, unsigned *status)
+			     struct request_info *call, unsigned *status)
 {
 	struct lstr tenant = http_find(m, LSTR("X-Tenant"));
 	struct lstr limit = http_find(m, LSTR("X-Deadline-Ms"));
@@ -186,7 +186,7 @@
 
 static void do_call(struct traffic *t, struct http_conn *c,
 		    struct http_message *m, const struct service_opts *s,
-		    struct call_info *call)
+		    struct request_info *call)
 {
 	const struct route *route;
 	const char *why;
@@ -224,8 +224,8 @@
 static void route_call(struct traffic *t, struct http_conn *c,
 		       struct http_message *m)
 {
-	struct call_info call = {.id = http_find(m, H_ID),
-				 .host = LSTR(CONF_OWN_HOST)};
+	struct request_info call = {.id = http_find(m, H_ID),
+				    .host = LSTR(CONF_OWN_HOST)};
 	size_t skip = strlen(CONF_OWN_PREFIX);
 	const struct service_opts *s;
 	char *name = g_strndup(m->target.ptr + skip, m->target.len - skip);
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -257,7 +257,7 @@
 		n++;
 	if (n == 0)
 		return;
-	l->recent_from = store_position_after(
+	l->recent_from = store_position_next(
 		g_array_index(l->recent, struct backend_change, n - 1).pos);
 	if (store_position_cmp(l->recent_from, l->pos) > 0)
 		l->recent_from = l->pos;
--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -31,7 +31,7 @@
 	c->pos = rec->pos;
 	if (rec->value.len == 0)
 		return decode_key(rec, c);
-	if (record_backend(rec->key, rec->value, &c->entry) == 0)
+	if (records_decode_backend(rec->key, rec->value, &c->entry) == 0)
 		return true;
 	mp_event(EV_MEMBER_BAD_RECORD, G_LOG_LEVEL_WARNING,
 		 "record %" G_GUINT64_FORMAT " of '%.*s' can't be read",
@@ -112,7 +112,7 @@
 	}
 	take_records(w, r, now_ms);
 	if (r->more) {
-		store_newest(&w->store, STORE_TOPIC_BACKENDS, r->last_key);
+		store_list(&w->store, STORE_TOPIC_BACKENDS, r->last_key);
 		return;
 	}
 	w->listing = false;
@@ -179,7 +179,7 @@
 	if (!w->asked_all)
 		store_read(&w->store, STORE_TOPIC_BACKENDS, w->list.pos, 0);
 	else
-		store_newest(&w->store, STORE_TOPIC_BACKENDS, LSTR(""));
+		store_list(&w->store, STORE_TOPIC_BACKENDS, LSTR(""));
 }
 
 /*
@@ -197,7 +197,7 @@
 		    (rank == 0 && !backend_watch_is_current(w));
 
 	backend_list_settle(&w->list, now_ms);
-	if (w->store.call != STORE_NO_CALL || !(may_list || w->list.loaded))
+	if (w->store.call != STORE_IDLE || !(may_list || w->list.loaded))
 		return;
 	if (anew && w->failures == 0)
 		due = 0;
@@ -230,7 +230,7 @@
 {
 	w->era_ms = now_ms;
 	w->failures = 0;
-	if (!store_call_is_old(&w->store))
+	if (!store_call_is_stale(&w->store))
 		return;
 	store_cancel(&w->store);
 	w->listing = false;
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -251,7 +251,7 @@
 {
 	w->asked_ms = clock_ms();
 	if (!w->listed || w->relist || !is_bookmark_valid(w))
-		store_newest(&w->store, w->source.topic, LSTR(""));
+		store_list(&w->store, w->source.topic, LSTR(""));
 	else
 		store_read(&w->store, w->source.topic, w->pos,
 			   config_poll_wait_ms(g_random_double()));
@@ -259,7 +259,7 @@
 
 static bool is_idle(const struct config_watch *w)
 {
-	return w->store.call == STORE_NO_CALL && !ev_is_active(&w->retry);
+	return w->store.call == STORE_IDLE && !ev_is_active(&w->retry);
 }
 
 /*
@@ -359,7 +359,7 @@
 	if (!ahead || m->pos.era != w->pos.era || !is_bookmark_valid(w))
 		return w->unfit_digest == m->digest ? CONFIG_KNOWN : CONFIG_ASK;
 	/* A call from after that time brings it, however long it takes. */
-	if (w->store.call != STORE_NO_CALL && w->asked_ms < w->behind_ms &&
+	if (w->store.call != STORE_IDLE && w->asked_ms < w->behind_ms &&
 	    now_ms - w->behind_ms > ON_THE_WAY_MS)
 		config_watch_restart(w);
 	/* Somebody could read it: the pause after a failure is over. */
@@ -433,9 +433,9 @@
 	w->era_ms = now_ms;
 	w->fresh_ms = 0;
 	w->told_ms = 0;
-	if (store_call_is_old(&w->store))
+	if (store_call_is_stale(&w->store))
 		store_cancel(&w->store);
-	if (w->store.call == STORE_NO_CALL && w->polls)
+	if (w->store.call == STORE_IDLE && w->polls)
 		ask_later(w, 0);
 }
 
--- a/control/control.c
+++ b/control/control.c
@@ -154,7 +154,8 @@
 	if (relay_from_peer(c, m))
 		return;
 	c->met = true;
-	store_endpoint_learn(&c->store, m->sender.store_era, m->sender.name);
+	store_endpoint_update_era(&c->store, m->sender.store_era,
+				  m->sender.name);
 	if (m->kind == GOSSIP_FEED) {
 		backend_watch_feed(&c->backends, &m->feed, now_ms);
 		control_publish_age(c);
--- a/control/member_record.c
+++ b/control/member_record.c
@@ -20,7 +20,7 @@
 			     NULL);
 		buf_free(&value);
 	} else if (!m->listed) {
-		store_newest(&m->store, STORE_TOPIC_MEMBERS, LSTR(""));
+		store_list(&m->store, STORE_TOPIC_MEMBERS, LSTR(""));
 	}
 }
 
@@ -76,7 +76,7 @@
 	}
 	take_members(m, r);
 	if (r->more)
-		store_newest(&m->store, STORE_TOPIC_MEMBERS, r->last_key);
+		store_list(&m->store, STORE_TOPIC_MEMBERS, r->last_key);
 	else {
 		m->listed = true;
 		m->listed_ms = clock_ms();
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -155,7 +155,7 @@
 	for (size_t i = 0; i < res->nrecords; i++)
 		take_record(r, &res->records[i]);
 	if (res->more)
-		store_newest(&r->store, STORE_TOPIC_MEMBERS, res->last_key);
+		store_list(&r->store, STORE_TOPIC_MEMBERS, res->last_key);
 	else
 		compare(r, clock_ms());
 }
@@ -196,11 +196,11 @@
 		if (!r->first_era)
 			r->first_era = era;
 	}
-	if (!first || now_ms < r->due_ms || r->store.call != STORE_NO_CALL)
+	if (!first || now_ms < r->due_ms || r->store.call != STORE_IDLE)
 		return;
 	if (MAX(r->checked_era, peers_records_era(r->peers)) >= era)
 		return;
-	store_newest(&r->store, STORE_TOPIC_MEMBERS, LSTR(""));
+	store_list(&r->store, STORE_TOPIC_MEMBERS, LSTR(""));
 }
 
 /* record_check_init() prepares the channel; it connects when needed. */
--- a/member/gossip.c
+++ b/member/gossip.c
@@ -149,7 +149,7 @@
 
 	if (begin == 0)
 		return feed->from;
-	after = store_position_after(pos_at(feed, begin - 1));
+	after = store_position_next(pos_at(feed, begin - 1));
 	next = begin < feed->changes->len ? pos_at(feed, begin) : feed->to;
 	/* What a copy of the store lacks all stands at one place. */
 	return store_position_cmp(next, after) < 0 ? next : after;
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -148,7 +148,7 @@
 	assert_int_equal(w.store.call, STORE_READ);
 	/* It doesn't come: asked anew on another connection. */
 	assert_int_equal(hear(&w, 6, 12, 0, 10800), CONFIG_KNOWN);
-	assert_int_equal(w.store.call, STORE_NO_CALL);
+	assert_int_equal(w.store.call, STORE_IDLE);
 	assert_true(ev_is_active(&w.retry));
 	ev_timer_stop(w.loop, &w.retry);
 	/* This one is from after the news, and takes two seconds. */
@@ -172,7 +172,7 @@
 	assert_int_equal(config_watch_age_ms(&w, 11000, 11100), 100);
 	/* The poll should have been answered by now. */
 	assert_int_equal(config_watch_age_ms(&w, 13900, 14000), 4000);
-	w.store.call = STORE_NO_CALL;
+	w.store.call = STORE_IDLE;
 	assert_int_equal(config_watch_age_ms(&w, 11000, 11100), 1100);
 	buf_free(&w.record);
 }
@@ -340,7 +340,7 @@
 	w.store.call = STORE_READ;
 	w.asked_ms = 19990;
 	rise(&w, 1);
-	assert_int_equal(w.store.call, STORE_NO_CALL);
+	assert_int_equal(w.store.call, STORE_IDLE);
 	assert_int_equal(config_watch_age_ms(&w, 19999, 20000), AGE_UNKNOWN);
 	/* Nor does a peer that still lives in the old era. */
 	assert_int_equal(config_watch_heard(&w, &old, 20000), CONFIG_KNOWN);
--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -18,15 +18,15 @@
 	return http_reader_take(&r);
 }
 
-static void test_call(void **state)
+static void test_read_request(void **state)
 {
 	struct http_message *m =
 		message(HTTP_REQUEST, "GET /x HTTP/1.1\r\nHost: one.example\r\n"
 				      "Attempt-Id: abc\r\n"
 				      "Deadline-Remaining-Ms: 1200\r\n\r\n");
-	struct call_info c;
+	struct request_info c;
 
-	exchange_read_call(m, &c);
+	exchange_read_request(m, &c);
 	assert_true(lstr_eq(c.id, LSTR("abc")));
 	assert_true(lstr_eq(c.host, LSTR("one.example")));
 	assert_true(c.has_time_left);
@@ -34,14 +34,14 @@
 	http_message_free(m);
 	m = message(HTTP_REQUEST, "GET /x HTTP/1.1\r\nHost: one.example\r\n"
 				  "Deadline-Remaining-Ms: soon\r\n\r\n");
-	exchange_read_call(m, &c);
+	exchange_read_request(m, &c);
 	assert_int_equal(c.id.len, 0);
 	assert_false(c.has_time_left);
 	http_message_free(m);
 }
 
 /* A server gets what the caller sent, but for what is the instance's. */
-static void test_request(void **state)
+static void test_write_request(void **state)
 {
 	struct http_message *m = message(
 		HTTP_REQUEST,
@@ -51,12 +51,12 @@
 		"Target-Instance: forged\r\nDeadline-Remaining-Ms: 9999\r\n"
 		"Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n");
 	struct backend b = {0};
-	struct call_info c;
+	struct request_info c;
 	struct buf out = {0};
 	char *text;
 
 	g_strlcpy(b.entry.id, "i-1", sizeof(b.entry.id));
-	exchange_read_call(m, &c);
+	exchange_read_request(m, &c);
 	exchange_write_request(&out, m, &c, &b, 700, NULL);
 	text = g_strndup(out.ptr, out.len);
 	assert_true(g_str_has_prefix(text, "POST /x?q=1 HTTP/1.1\r\n"));
@@ -76,27 +76,27 @@
 	http_message_free(m);
 }
 
-static void test_answer(void **state)
+static void test_read_response(void **state)
 {
 	struct http_message *m = message(
 		HTTP_RESPONSE,
 		"HTTP/1.1 200 OK\r\nAttempt-Id: abc\r\nResponse-Seal: s.1\r\n"
 		"Server-Load: 3,1,8,400\r\nInstance-Id: i-1\r\nX-Its: own\r\n"
 		"Keep-Alive: timeout=5\r\nContent-Length: 2\r\n\r\nok");
-	struct answer_info a;
+	struct response_info a;
 	struct buf out = {0};
 	char *text;
 
-	exchange_read_answer(m, &a);
-	assert_true(a.sealed && a.has_load && !a.not_run);
+	exchange_read_response(m, &a);
+	assert_true(a.sealed && a.has_load && !a.not_executed);
 	assert_int_equal(a.load.running, 3);
 	assert_int_equal(a.load.waiting, 1);
 	assert_int_equal(a.load.slots, 8);
 	assert_int_equal(a.load.slowdown_pct, 400);
-	assert_true(lstr_eq(a.backend, LSTR("i-1")));
-	assert_true(exchange_is_for(&a, LSTR("abc")));
-	assert_false(exchange_is_for(&a, LSTR("abd")));
-	exchange_write_answer_headers(&out, m);
+	assert_true(lstr_eq(a.backend_id, LSTR("i-1")));
+	assert_true(exchange_response_matches(&a, LSTR("abc")));
+	assert_false(exchange_response_matches(&a, LSTR("abd")));
+	exchange_write_response_headers(&out, m);
 	text = g_strndup(out.ptr, out.len);
 	assert_non_null(strstr(text, "Response-Seal: s.1\r\n"));
 	assert_non_null(strstr(text, "X-Its: own\r\n"));
@@ -108,45 +108,45 @@
 }
 
 /* Only an answer that says "not run" may come without an id. */
-static void test_answers_without_id(void **state)
+static void test_response_without_attempt_id(void **state)
 {
-	struct answer_info a;
+	struct response_info a;
 	struct http_message *m =
 		message(HTTP_RESPONSE, "HTTP/1.1 503 No\r\nNot-Executed: 1\r\n"
 				       "Content-Length: 0\r\n\r\n");
 
-	exchange_read_answer(m, &a);
-	assert_true(a.not_run);
-	assert_true(exchange_is_for(&a, LSTR("abc")));
+	exchange_read_response(m, &a);
+	assert_true(a.not_executed);
+	assert_true(exchange_response_matches(&a, LSTR("abc")));
 	http_message_free(m);
 	m = message(HTTP_RESPONSE,
 		    "HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n");
-	exchange_read_answer(m, &a);
-	assert_true(a.not_run);
+	exchange_read_response(m, &a);
+	assert_true(a.not_executed);
 	http_message_free(m);
 	m = message(HTTP_RESPONSE,
 		    "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-	exchange_read_answer(m, &a);
-	assert_false(exchange_is_for(&a, LSTR("abc")));
+	exchange_read_response(m, &a);
+	assert_false(exchange_response_matches(&a, LSTR("abc")));
 	http_message_free(m);
 	/* Load without the fourth figure: usual speed. */
 	m = message(HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nServer-Load: 1,0,2\r\n"
 				   "Content-Length: 0\r\n\r\n");
-	exchange_read_answer(m, &a);
+	exchange_read_response(m, &a);
 	assert_true(a.has_load);
 	assert_int_equal(a.load.slowdown_pct, 100);
 	http_message_free(m);
 }
 
-static struct answer_info answer_with_limit(const char *text)
+static struct response_info response_with_limit(const char *text)
 {
 	char *head = g_strdup_printf("HTTP/1.1 200 OK\r\nServer-Limit:%s\r\n"
 				     "Content-Length: 0\r\n\r\n",
 				     text);
 	struct http_message *m = message(HTTP_RESPONSE, head);
-	struct answer_info a;
+	struct response_info a;
 
-	exchange_read_answer(m, &a);
+	exchange_read_response(m, &a);
 	a.limit_text = LSTR("");
 	http_message_free(m);
 	g_free(head);
@@ -164,35 +164,37 @@
 		"5;",	" ",	 "123456789012345678901234567890",
 	};
 
-	assert_int_equal(answer_with_limit(" 5.1").limit, LIMIT_NAMED);
-	assert_true(answer_with_limit(" 5.1").limit_per_s == 5.1);
-	assert_true(answer_with_limit("0").limit_per_s == 0);
-	assert_true(answer_with_limit(" .25 ").limit_per_s == 0.25);
-	assert_true(answer_with_limit(" 200.").limit_per_s == 200);
+	assert_int_equal(response_with_limit(" 5.1").limit, LIMIT_SET);
+	assert_true(response_with_limit(" 5.1").limit_per_s == 5.1);
+	assert_true(response_with_limit("0").limit_per_s == 0);
+	assert_true(response_with_limit(" .25 ").limit_per_s == 0.25);
+	assert_true(response_with_limit(" 200.").limit_per_s == 200);
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-		assert_int_equal(answer_with_limit(bad[i]).limit, LIMIT_BAD);
+		assert_int_equal(response_with_limit(bad[i]).limit,
+				 LIMIT_INVALID);
 }
 
 static void test_no_limit(void **state)
 {
-	struct answer_info a;
+	struct response_info a;
 	struct http_message *m = message(
 		HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
 
-	exchange_read_answer(m, &a);
-	assert_int_equal(a.limit, LIMIT_UNNAMED);
+	exchange_read_response(m, &a);
+	assert_int_equal(a.limit, LIMIT_NONE);
 	http_message_free(m);
 }
 
-static struct answer_info answer_with(unsigned status, const char *header)
+static struct response_info response_with_header(unsigned status,
+						 const char *header)
 {
 	char *head = g_strdup_printf("HTTP/1.1 %u X\r\n%s\r\n"
 				     "Content-Length: 0\r\n\r\n",
 				     status, header);
 	struct http_message *m = message(HTTP_RESPONSE, head);
-	struct answer_info a;
+	struct response_info a;
 
-	exchange_read_answer(m, &a);
+	exchange_read_response(m, &a);
 	a.backoff_text = a.draining_text = LSTR("");
 	http_message_free(m);
 	g_free(head);
@@ -214,29 +216,33 @@
 		"Retry-After: 123456789012345678901234567890",
 	};
 
-	assert_int_equal(answer_with(503, "Retry-After: 3").backoff,
+	assert_int_equal(response_with_header(503, "Retry-After: 3").backoff,
 			 BACKOFF_SET);
-	assert_true(answer_with(503, "Retry-After: 3").backoff_s == 3);
-	assert_true(answer_with(503, "Retry-After:  .25 ").backoff_s == 0.25);
-	assert_true(answer_with(503, "Retry-After: 0").backoff_s == 0);
-	assert_int_equal(answer_with(503, "X: 3").backoff, BACKOFF_NONE);
+	assert_true(response_with_header(503, "Retry-After: 3").backoff_s == 3);
+	assert_true(response_with_header(503, "Retry-After:  .25 ").backoff_s ==
+		    0.25);
+	assert_true(response_with_header(503, "Retry-After: 0").backoff_s == 0);
+	assert_int_equal(response_with_header(503, "X: 3").backoff,
+			 BACKOFF_NONE);
 	assert_int_equal(
-		answer_with(429, "Not-Executed: 1\r\nRetry-After: 3").backoff,
+		response_with_header(429, "Not-Executed: 1\r\nRetry-After: 3")
+			.backoff,
 		BACKOFF_SET);
 	assert_int_equal(
-		answer_with(429, "Response-Seal: x\r\nRetry-After: 3").backoff,
+		response_with_header(429, "Response-Seal: x\r\nRetry-After: 3")
+			.backoff,
 		BACKOFF_NONE);
-	assert_int_equal(answer_with(200, "Retry-After: 3").backoff,
+	assert_int_equal(response_with_header(200, "Retry-After: 3").backoff,
 			 BACKOFF_NONE);
-	assert_int_equal(answer_with(500, "Retry-After: x").backoff,
+	assert_int_equal(response_with_header(500, "Retry-After: x").backoff,
 			 BACKOFF_NONE);
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-		assert_int_equal(answer_with(503, bad[i]).backoff,
+		assert_int_equal(response_with_header(503, bad[i]).backoff,
 				 BACKOFF_INVALID);
 }
 
 /* A backoff is between server and instance. */
-static void test_backoff_is_not_passed_on(void **state)
+static void test_backoff_is_not_forwarded(void **state)
 {
 	static const unsigned statuses[] = {503, 429, 200};
 
@@ -248,7 +254,7 @@
 		struct http_message *m = message(HTTP_RESPONSE, head);
 		struct buf out = {0};
 
-		exchange_write_answer_headers(&out, m);
+		exchange_write_response_headers(&out, m);
 		assert_int_equal(out.len == 0, statuses[i] == 503);
 		buf_free(&out);
 		http_message_free(m);
@@ -260,15 +266,18 @@
 {
 	static const char *const bad[] = {"0", "", "yes", "11", "1, 1"};
 
-	assert_int_equal(answer_with(200, "Server-Leaving: 1").draining,
-			 DRAINING_SET);
-	assert_int_equal(answer_with(503, "Server-Leaving:1 ").draining,
-			 DRAINING_SET);
-	assert_int_equal(answer_with(200, "X: 1").draining, DRAINING_NONE);
+	assert_int_equal(
+		response_with_header(200, "Server-Leaving: 1").draining,
+		DRAINING_SET);
+	assert_int_equal(
+		response_with_header(503, "Server-Leaving:1 ").draining,
+		DRAINING_SET);
+	assert_int_equal(response_with_header(200, "X: 1").draining,
+			 DRAINING_NONE);
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++) {
 		char *h = g_strdup_printf("Server-Leaving: %s", bad[i]);
 
-		assert_int_equal(answer_with(200, h).draining,
+		assert_int_equal(response_with_header(200, h).draining,
 				 DRAINING_INVALID);
 		g_free(h);
 	}
@@ -277,14 +286,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_call),
-		cmocka_unit_test(test_request),
-		cmocka_unit_test(test_answer),
-		cmocka_unit_test(test_answers_without_id),
+		cmocka_unit_test(test_read_request),
+		cmocka_unit_test(test_write_request),
+		cmocka_unit_test(test_read_response),
+		cmocka_unit_test(test_response_without_attempt_id),
 		cmocka_unit_test(test_limit),
 		cmocka_unit_test(test_no_limit),
 		cmocka_unit_test(test_backoff),
-		cmocka_unit_test(test_backoff_is_not_passed_on),
+		cmocka_unit_test(test_backoff_is_not_forwarded),
 		cmocka_unit_test(test_draining),
 	};
 
--- a/tests/test_record_check.c
+++ b/tests/test_record_check.c
@@ -58,7 +58,7 @@
 			  &f->channel, on_verdict, f);
 	record_check_init(&f->check, f->store->loop, &f->store->endpoint,
 			  &f->channel.peers, &f->crashes);
-	store_endpoint_learn(&f->store->endpoint, 1, "test");
+	store_endpoint_update_era(&f->store->endpoint, 1, "test");
 	record_check_tick(&f->check, true, f->now_ms);
 	return f;
 }
@@ -125,7 +125,7 @@
 static void run_until(struct fixture *f, unsigned requests)
 {
 	while (f->store->requests < requests ||
-	       f->check.store.call != STORE_NO_CALL)
+	       f->check.store.call != STORE_IDLE)
 		ev_run(f->store->loop, EVRUN_ONCE);
 }
 
@@ -138,7 +138,7 @@
 /* The store is back in another era; `first`: it is this instance's turn. */
 static void rise(struct fixture *f, uint64_t era, bool first)
 {
-	store_endpoint_learn(&f->store->endpoint, era, "test");
+	store_endpoint_update_era(&f->store->endpoint, era, "test");
 	record_check_tick(&f->check, first, f->now_ms);
 	record_check_tick(&f->check, first, f->now_ms + SETTLED_MS);
 }
@@ -175,7 +175,7 @@
 	assert_int_equal(f->check.checked_era, 2);
 	/* Nothing more in this era. */
 	record_check_tick(&f->check, true, f->now_ms + 9000);
-	assert_int_equal(f->check.store.call, STORE_NO_CALL);
+	assert_int_equal(f->check.store.call, STORE_IDLE);
 	end(f);
 }
 
@@ -198,15 +198,15 @@
 
 	/* Not the first. */
 	rise(f, 2, false);
-	assert_int_equal(f->check.store.call, STORE_NO_CALL);
+	assert_int_equal(f->check.store.call, STORE_IDLE);
 	/* The first has ended, and another has done it. */
 	p.records_era = 2;
 	peers_heard(&f->channel.peers, &p, f->now_ms);
 	record_check_tick(&f->check, true, f->now_ms + SETTLED_MS);
-	assert_int_equal(f->check.store.call, STORE_NO_CALL);
+	assert_int_equal(f->check.store.call, STORE_IDLE);
 	/* In the next era nobody has. */
 	rise(f, 3, true);
-	assert_int_equal(f->check.store.call, STORE_NEWEST);
+	assert_int_equal(f->check.store.call, STORE_LIST);
 	end(f);
 }
 
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -11,7 +11,7 @@
 struct variant {
 	const char *version, *kind, *service;
 	uint64_t timeout, attempts;
-	bool no_timeout, same_place, split;
+	bool no_timeout, same_path, split;
 };
 
 static const struct variant proper = {
@@ -74,7 +74,7 @@
 	codec_pack_cstr(&pk, "routes");
 	msgpack_pack_map(&pk, 2);
 	pack_route(&pk, "r-1", "/a/", v);
-	pack_route(&pk, "r-2", v->same_place ? "/a/" : "/b/", &proper);
+	pack_route(&pk, "r-2", v->same_path ? "/a/" : "/b/", &proper);
 	codec_pack_cstr(&pk, "services");
 	msgpack_pack_map(&pk, 2);
 	codec_pack_cstr(&pk, "harta");
@@ -96,7 +96,7 @@
 
 	findings_init(&f);
 	pack_version(&b, v);
-	c = record_config(buf_lstr(&b), &f);
+	c = records_decode_config(buf_lstr(&b), &f);
 	*findings = f.list->len;
 	findings_clear(&f);
 	buf_free(&b);
@@ -141,7 +141,7 @@
 	config_unref(c);
 }
 
-static void test_unfit_versions(void **state)
+static void test_invalid_versions(void **state)
 {
 	struct variant bad[8];
 	struct buf b = {0};
@@ -155,7 +155,7 @@
 	bad[2].timeout = 0;
 	bad[3].attempts = 0;
 	bad[4].no_timeout = true;
-	bad[5].same_place = true;
+	bad[5].same_path = true;
 	bad[6].version = "not hex";
 	bad[7].timeout = 1000ULL * 3600 * 24;
 	for (size_t i = 0; i < 8; i++) {
@@ -168,7 +168,7 @@
 	for (size_t k = 0; k < b.len; k++) {
 		char *copy = g_memdup2(b.ptr, k ? k : 1);
 
-		assert_null(record_config((struct lstr){copy, k}, &f));
+		assert_null(records_decode_config((struct lstr){copy, k}, &f));
 		g_free(copy);
 	}
 	findings_clear(&f);
@@ -205,7 +205,7 @@
 	int rc;
 
 	pack_server(&b, addr, state, with_status);
-	rc = record_backend(lstr0(id), buf_lstr(&b), e);
+	rc = records_decode_backend(lstr0(id), buf_lstr(&b), e);
 	buf_free(&b);
 	return rc;
 }
@@ -243,7 +243,7 @@
 struct field {
 	const char *name;
 	const char *part; /* NULL: at the top level */
-	bool may_lack;
+	bool optional;
 };
 
 static const struct field fields[] = {
@@ -255,16 +255,16 @@
 };
 
 /* What is wrong with the one field that a test spoils. */
-enum spoil {
-	SPOIL_NOTHING,
-	SPOIL_MISSING,
-	SPOIL_LIST,
-	SPOIL_NIL,
-	SPOIL_NEGATIVE,
-	SPOIL_FRACTION,
-	SPOIL_HUGE,
-	SPOIL_SWAPPED, /* a number for a text, a text for a number */
-	SPOIL_COUNT,
+enum corruption {
+	CORRUPT_NONE,
+	CORRUPT_MISSING,
+	CORRUPT_ARRAY,
+	CORRUPT_NIL,
+	CORRUPT_NEGATIVE,
+	CORRUPT_FRACTION,
+	CORRUPT_HUGE,
+	CORRUPT_TYPE_SWAPPED, /* a number for a text, a text for a number */
+	CORRUPT_COUNT,
 };
 
 static bool is_number(const char *name)
@@ -285,25 +285,26 @@
 		codec_pack_cstr(pk, "harta");
 }
 
-static void pack_spoilt(msgpack_packer *pk, const char *name, enum spoil how)
+static void pack_corrupt(msgpack_packer *pk, const char *name,
+			 enum corruption how)
 {
 	switch (how) {
-	case SPOIL_LIST:
+	case CORRUPT_ARRAY:
 		msgpack_pack_array(pk, 0);
 		break;
-	case SPOIL_NIL:
+	case CORRUPT_NIL:
 		msgpack_pack_nil(pk);
 		break;
-	case SPOIL_NEGATIVE:
+	case CORRUPT_NEGATIVE:
 		msgpack_pack_int(pk, -1);
 		break;
-	case SPOIL_FRACTION:
+	case CORRUPT_FRACTION:
 		msgpack_pack_double(pk, 2.5);
 		break;
-	case SPOIL_HUGE:
+	case CORRUPT_HUGE:
 		msgpack_pack_double(pk, 1e300);
 		break;
-	case SPOIL_SWAPPED:
+	case CORRUPT_TYPE_SWAPPED:
 		if (is_number(name))
 			codec_pack_cstr(pk, "7");
 		else
@@ -315,35 +316,35 @@
 }
 
 static void pack_fields(msgpack_packer *pk, const char *part, size_t spoilt,
-			enum spoil how)
+			enum corruption how)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
 		if (g_strcmp0(fields[i].part, part) ||
-		    (i == spoilt && how == SPOIL_MISSING))
+		    (i == spoilt && how == CORRUPT_MISSING))
 			continue;
 		codec_pack_cstr(pk, fields[i].name);
 		if (i == spoilt)
-			pack_spoilt(pk, fields[i].name, how);
+			pack_corrupt(pk, fields[i].name, how);
 		else
 			pack_good(pk, fields[i].name);
 	}
 }
 
-static void pack_entry(struct buf *out, size_t spoilt, enum spoil how)
+static void pack_entry(struct buf *out, size_t spoilt, enum corruption how)
 {
 	const char *parts[] = {"info", "status"};
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_map(&pk,
-			 4 - (how == SPOIL_MISSING && !fields[spoilt].part));
+			 4 - (how == CORRUPT_MISSING && !fields[spoilt].part));
 	pack_fields(&pk, NULL, spoilt, how);
 	for (size_t k = 0; k < G_N_ELEMENTS(parts); k++) {
 		size_t n = 0;
 
 		for (size_t i = 0; i < G_N_ELEMENTS(fields); i++)
 			n += !g_strcmp0(fields[i].part, parts[k]) &&
-			     !(i == spoilt && how == SPOIL_MISSING);
+			     !(i == spoilt && how == CORRUPT_MISSING);
 		codec_pack_cstr(&pk, parts[k]);
 		msgpack_pack_map(&pk, n);
 		pack_fields(&pk, parts[k], spoilt, how);
@@ -351,27 +352,28 @@
 }
 
 /* An entry with one field missing or of another type names no server. */
-static void test_spoilt_entries(void **state)
+static void test_corrupt_fields(void **state)
 {
 	struct backend_entry e;
 	struct buf b = {0};
 
-	pack_entry(&b, 0, SPOIL_NOTHING);
-	assert_int_equal(record_backend(LSTR("i-1"), buf_lstr(&b), &e), 0);
+	pack_entry(&b, 0, CORRUPT_NONE);
+	assert_int_equal(records_decode_backend(LSTR("i-1"), buf_lstr(&b), &e),
+			 0);
 	assert_int_equal(e.born_ms, 7);
 	assert_int_equal(e.sequence, 7);
 	assert_int_equal(e.slots, 7);
 	for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
-		for (int how = SPOIL_MISSING; how < SPOIL_COUNT; how++) {
-			int want = fields[i].may_lack && how == SPOIL_MISSING
+		for (int how = CORRUPT_MISSING; how < CORRUPT_COUNT; how++) {
+			int want = fields[i].optional && how == CORRUPT_MISSING
 					   ? 0
 					   : -EINVAL;
 
 			b.len = 0;
-			pack_entry(&b, i, (enum spoil)how);
-			assert_int_equal(
-				record_backend(LSTR("i-1"), buf_lstr(&b), &e),
-				want);
+			pack_entry(&b, i, (enum corruption)how);
+			assert_int_equal(records_decode_backend(
+						 LSTR("i-1"), buf_lstr(&b), &e),
+					 want);
 		}
 	}
 	buf_free(&b);
@@ -381,7 +383,7 @@
  * Entries with bytes changed or cut off, by seed: each is refused or names a
  * server whose every field is in range.
  */
-static void test_mangled_entries(void **state)
+static void test_corrupt_bytes(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(41);
 
@@ -390,14 +392,14 @@
 		struct buf b = {0};
 		int changes = g_rand_int_range(rand, 1, 4);
 
-		pack_entry(&b, 0, SPOIL_NOTHING);
+		pack_entry(&b, 0, CORRUPT_NONE);
 		for (int k = 0; k < changes; k++)
 			b.ptr[g_rand_int_range(rand, 0, (gint32)b.len)] =
 				(char)g_rand_int_range(rand, 0, 256);
 		if (i % 3 == 0)
 			b.len = (size_t)g_rand_int_range(rand, 0,
 							 (gint32)b.len);
-		if (!record_backend(LSTR("i-1"), buf_lstr(&b), &e)) {
+		if (!records_decode_backend(LSTR("i-1"), buf_lstr(&b), &e)) {
 			assert_in_range(e.slots, 1, 100 * 1000);
 			assert_true(e.service[0] && e.dc[0]);
 			assert_string_equal(e.id, "i-1");
@@ -416,22 +418,22 @@
 	size_t off = 0;
 	char dc[16];
 
-	assert_true(directory_question(LSTR("/resolution?name=x"), dc, 16));
+	assert_true(directory_parse_target(LSTR("/resolution?name=x"), dc, 16));
 	assert_string_equal(dc, "");
-	assert_true(directory_question(LSTR("/resolution"), dc, 16));
+	assert_true(directory_parse_target(LSTR("/resolution"), dc, 16));
 	assert_string_equal(dc, "");
-	assert_true(directory_question(
+	assert_true(directory_parse_target(
 		LSTR("/resolution?name=x&region=r&zone=gt-a%2d1"), dc, 16));
 	assert_string_equal(dc, "gt-a-1");
 	/* A name too long for any data centre, and none at all. */
-	assert_true(directory_question(
+	assert_true(directory_parse_target(
 		LSTR("/resolution?zone=0123456789abcdef"), dc, 16));
 	assert_string_equal(dc, "");
-	assert_true(directory_question(LSTR("/resolution?&&=%zz"), dc, 16));
+	assert_true(directory_parse_target(LSTR("/resolution?&&=%zz"), dc, 16));
 	assert_string_equal(dc, "");
-	assert_false(directory_question(LSTR("/resolutions"), dc, 16));
-	assert_false(directory_question(LSTR("/"), dc, 16));
-	directory_write(&b, addrs, 2, 2.5);
+	assert_false(directory_parse_target(LSTR("/resolutions"), dc, 16));
+	assert_false(directory_parse_target(LSTR("/"), dc, 16));
+	directory_write_response(&b, addrs, 2, 2.5);
 	msgpack_unpacked_init(&u);
 	assert_int_equal(msgpack_unpack_next(&u, b.ptr, b.len, &off),
 			 MSGPACK_UNPACK_SUCCESS);
@@ -448,10 +450,10 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_config),
 		cmocka_unit_test(test_split),
-		cmocka_unit_test(test_unfit_versions),
+		cmocka_unit_test(test_invalid_versions),
 		cmocka_unit_test(test_backend),
-		cmocka_unit_test(test_spoilt_entries),
-		cmocka_unit_test(test_mangled_entries),
+		cmocka_unit_test(test_corrupt_fields),
+		cmocka_unit_test(test_corrupt_bytes),
 		cmocka_unit_test(test_directory),
 	};
 
--- a/tests/test_store_era.c
+++ b/tests/test_store_era.c
@@ -14,25 +14,25 @@
 static struct scripted_store *store;
 static struct store_channel channel;
 static struct store_result last; /* without its records */
-static unsigned outcomes, rises;
+static unsigned completions, era_changes;
 
 static void on_done(void *priv, const struct store_result *r)
 {
 	last = *r;
-	outcomes++;
+	completions++;
 }
 
-static void on_risen(void *priv)
+static void on_era_change(void *priv)
 {
-	rises++;
+	era_changes++;
 }
 
 static int setup(void **state)
 {
 	store = scripted_store_new(ADDR);
-	store->endpoint.risen = on_risen;
+	store->endpoint.era_changed = on_era_change;
 	store_open(&channel, store->loop, &store->endpoint, on_done, NULL);
-	outcomes = rises = 0;
+	completions = era_changes = 0;
 	return 0;
 }
 
@@ -46,9 +46,9 @@
 /* Runs until the call has its outcome, which is expected to be `err`. */
 static void expect(int err)
 {
-	unsigned before = outcomes;
+	unsigned before = completions;
 
-	while (outcomes == before)
+	while (completions == before)
 		ev_run(store->loop, EVRUN_ONCE);
 	assert_int_equal(last.err, err);
 }
@@ -56,7 +56,7 @@
 static void list(unsigned status, const char *era, int err)
 {
 	scripted_answer(store, status, era, scripted_page("a", 7, false));
-	store_newest(&channel, TOPIC, LSTR(""));
+	store_list(&channel, TOPIC, LSTR(""));
 	expect(err);
 }
 
@@ -71,10 +71,10 @@
 	assert_true(store_position_cmp(at(2, 1), at(1, 9)) > 0);
 	assert_true(store_position_cmp(at(2, 1), at(2, 2)) < 0);
 	assert_int_equal(store_position_cmp(at(2, 2), at(2, 2)), 0);
-	assert_int_equal(store_position_after(at(2, 2)).offset, 3);
+	assert_int_equal(store_position_next(at(2, 2)).offset, 3);
 }
 
-static void test_every_answer_names_it(void **state)
+static void test_era_from_every_response(void **state)
 {
 	list(200, "3", 0);
 	assert_int_equal(last.end.era, 3);
@@ -88,10 +88,10 @@
 	store_append(&channel, TOPIC, LSTR("k"), LSTR("v"), NULL);
 	expect(0);
 	assert_int_equal(last.end.era, 8);
-	assert_int_equal(rises, 4);
+	assert_int_equal(era_changes, 4);
 }
 
-static void test_bad_values_are_refused(void **state)
+static void test_invalid_eras_are_ignored(void **state)
 {
 	static const char *const bad[] = {
 		"",    "two", "-5",	    "5.5",
@@ -104,23 +104,23 @@
 	}
 	list(200, NULL, 0);
 	assert_int_equal(last.end.era, 3);
-	assert_int_equal(rises, 1);
+	assert_int_equal(era_changes, 1);
 	list(200, "4294967295", 0);
-	assert_int_equal(rises, 2);
+	assert_int_equal(era_changes, 2);
 }
 
-static void test_late_answer_of_an_old_era(void **state)
+static void test_late_response_of_past_era(void **state)
 {
 	list(200, "5", 0);
 	list(200, "4", -ECANCELED);
 	list(503, "4", -ECANCELED);
 	assert_int_equal(store->endpoint.era, 5);
 	/* A peer told of the rise while the call was under way. */
-	store_newest(&channel, TOPIC, LSTR(""));
+	store_list(&channel, TOPIC, LSTR(""));
 	while (!store->held)
 		ev_run(store->loop, EVRUN_ONCE);
-	store_endpoint_learn(&store->endpoint, 6, "e1");
-	assert_true(store_call_is_old(&channel));
+	store_endpoint_update_era(&store->endpoint, 6, "e1");
+	assert_true(store_call_is_stale(&channel));
 	scripted_answer(store, 200, NULL, scripted_page("a", 7, false));
 	expect(-ECANCELED);
 }
@@ -138,20 +138,20 @@
 	assert_int_equal(store_position_cmp(last.end, at(2, 4)), 0);
 }
 
-static void test_listing_never_mixes_eras(void **state)
+static void test_list_across_eras(void **state)
 {
 	scripted_answer(store, 200, "1", scripted_page("abc", 9, true));
-	store_newest(&channel, TOPIC, LSTR(""));
+	store_list(&channel, TOPIC, LSTR(""));
 	expect(0);
 	scripted_answer(store, 200, "2", scripted_page("de", 9, false));
-	store_newest(&channel, TOPIC, LSTR("c"));
+	store_list(&channel, TOPIC, LSTR("c"));
 	expect(-ERANGE);
 	/* From its first page on the listing is of one era. */
 	scripted_answer(store, 200, "2", scripted_page("abc", 9, true));
-	store_newest(&channel, TOPIC, LSTR(""));
+	store_list(&channel, TOPIC, LSTR(""));
 	expect(0);
 	scripted_answer(store, 200, "2", scripted_page("de", 9, false));
-	store_newest(&channel, TOPIC, LSTR("c"));
+	store_list(&channel, TOPIC, LSTR("c"));
 	expect(0);
 }
 
@@ -177,16 +177,16 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_order),
-		cmocka_unit_test_setup_teardown(test_every_answer_names_it,
+		cmocka_unit_test_setup_teardown(test_era_from_every_response,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_bad_values_are_refused,
+		cmocka_unit_test_setup_teardown(test_invalid_eras_are_ignored,
 						setup, teardown),
-		cmocka_unit_test_setup_teardown(test_late_answer_of_an_old_era,
+		cmocka_unit_test_setup_teardown(test_late_response_of_past_era,
 						setup, teardown),
 		cmocka_unit_test_setup_teardown(test_read_across_eras, setup,
 						teardown),
-		cmocka_unit_test_setup_teardown(test_listing_never_mixes_eras,
-						setup, teardown),
+		cmocka_unit_test_setup_teardown(test_list_across_eras, setup,
+						teardown),
 		cmocka_unit_test_setup_teardown(
 			test_conditional_append_across_eras, setup, teardown),
 	};
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -26,13 +26,13 @@
 	assert_int_equal(m->draining, heard);
 }
 
-static enum http_verdict take(void *owner, const struct answer_info *info)
+static enum http_verdict take(void *owner, const struct response_info *info)
 {
 	return HTTP_TAKE;
 }
 
 static void response(void *owner, struct http_message *m,
-		     const struct answer_info *info)
+		     const struct response_info *info)
 {
 	http_message_free(m);
 }
--- a/tools/ctl.c
+++ b/tools/ctl.c
@@ -79,7 +79,7 @@
 
 static int wait_call(struct ctl *c)
 {
-	if (c->store.call != STORE_NO_CALL)
+	if (c->store.call != STORE_IDLE)
 		ev_run(c->loop, 0);
 	return c->err;
 }
@@ -87,7 +87,7 @@
 /* Reads the newest version. */
 static int read_live(struct ctl *c)
 {
-	store_newest(&c->store, CONF_TOPIC, LSTR(""));
+	store_list(&c->store, CONF_TOPIC, LSTR(""));
 	return wait_call(c);
 }
 
--- a/tools/load.c
+++ b/tools/load.c
@@ -114,7 +114,7 @@
 		   "X-Request-Id: %s\r\nX-Tenant: %s\r\nX-Deadline-Ms: %d\r\n",
 		   o->name, c->id, o->tenant, DEADLINE_MS);
 	if (c->load->args->direct)
-		exchange_write_id(b, lstr0(c->id));
+		exchange_write_attempt_id(b, lstr0(c->id));
 	if (c->key[0])
 		buf_printf(b, "Idempotency-Key: %s\r\n", c->key);
 	buf_add_lstr(b, LSTR("Content-Length: 2\r\n\r\n{}"));
--- a/traffic/ask.c
+++ b/traffic/ask.c
@@ -45,12 +45,13 @@
 	r->nasks = 0;
 }
 
-static enum http_verdict ask_judge(void *owner, const struct answer_info *info)
+static enum http_verdict ask_judge(void *owner,
+				   const struct response_info *info)
 {
 	struct ask *a = owner;
 
 	/* Only an answer that names its server answers the question. */
-	if (info->id.ptr || !info->backend.ptr) {
+	if (info->id.ptr || !info->backend_id.ptr) {
 		a->traffic->counters.foreign_answers++;
 		return HTTP_SKIP;
 	}
@@ -89,7 +90,7 @@
  * whose servers tell no load only if a healthy one's first answer has none:
  * one that fails or leaves may answer without.
  */
-static bool note_report(struct ask *a, const struct answer_info *info,
+static bool note_report(struct ask *a, const struct response_info *info,
 			unsigned status, int64_t now_ms)
 {
 	struct service *s = a->backend->service;
@@ -118,13 +119,13 @@
 }
 
 static void ask_response(void *owner, struct http_message *m,
-			 const struct answer_info *info)
+			 const struct response_info *info)
 {
 	struct ask *a = owner;
 	int64_t now_ms = clock_ms();
 
 	a->pending = false;
-	if (!lstr_eq(info->backend, lstr0(a->backend->entry.id))) {
+	if (!lstr_eq(info->backend_id, lstr0(a->backend->entry.id))) {
 		drop_ask(a);
 		forget_backend(a->traffic, a->backend);
 	} else {
--- a/traffic/end_check.c
+++ b/traffic/end_check.c
@@ -120,12 +120,12 @@
 static void on_response(void *priv, struct http_message *m)
 {
 	struct end_check *c = priv;
-	struct answer_info info;
+	struct response_info info;
 	bool named, same;
 
-	exchange_read_answer(m, &info);
-	named = info.backend.ptr != NULL;
-	same = named && lstr_eq(info.backend, lstr0(c->backend->entry.id));
+	exchange_read_response(m, &info);
+	named = info.backend_id.ptr != NULL;
+	same = named && lstr_eq(info.backend_id, lstr0(c->backend->entry.id));
 	feedback_apply(c->traffic, c->backend,
 		       &(struct feedback){.info = info});
 	http_message_free(m);
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -42,24 +42,25 @@
 }
 
 /* Another start may answer at the same address. */
-static bool is_from(const struct backend *b, const struct answer_info *info)
+static bool is_from(const struct backend *b, const struct response_info *info)
 {
 	if (info->misdirected)
 		return false;
-	return !info->backend.ptr || lstr_eq(info->backend, lstr0(b->entry.id));
+	return !info->backend_id.ptr ||
+	       lstr_eq(info->backend_id, lstr0(b->entry.id));
 }
 
 /* It isn't known when an unsolicited response was asked for: it can't end a limit. */
 static void apply_limit(struct traffic *t, struct backend *b,
 			const struct feedback *f)
 {
-	bool own = f->info.sealed || f->info.not_run || f->question;
+	bool own = f->info.sealed || f->info.not_executed || f->question;
 
 	if (f->awaited && own)
 		limits_answer(t, b, &f->info, f->sent_ms,
 			      f->question ? LIMIT_BY_QUESTION
 					  : LIMIT_BY_ANSWER);
-	else if (!f->awaited && f->info.limit == LIMIT_NAMED)
+	else if (!f->awaited && f->info.limit == LIMIT_SET)
 		limits_answer(t, b, &f->info, 0, LIMIT_BY_ANSWER);
 }
 
@@ -67,7 +68,7 @@
 void feedback_apply(struct traffic *t, struct backend *b,
 		    const struct feedback *f)
 {
-	const struct answer_info *info = &f->info;
+	const struct response_info *info = &f->info;
 
 	if (!is_from(b, info))
 		return;
--- a/traffic/feedback.h
+++ b/traffic/feedback.h
@@ -10,7 +10,7 @@
 
 /* A response from a server's address. */
 struct feedback {
-	struct answer_info info;
+	struct response_info info;
 	bool awaited;	 /* it answers what was last sent on its connection */
 	bool question;	 /* which was a load question */
 	int64_t sent_ms; /* and left then */
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -176,19 +176,19 @@
  * for at asked_ms. What is new is told to the peers at once.
  */
 void limits_answer(struct traffic *t, struct backend *b,
-		   const struct answer_info *info, int64_t asked_ms,
+		   const struct response_info *info, int64_t asked_ms,
 		   enum limit_source source)
 {
 	struct limit_news news = {.n = 0};
 	struct limit_word w = {
-		.named = info->limit == LIMIT_NAMED,
+		.named = info->limit == LIMIT_SET,
 		.per_s = info->limit_per_s,
 		.asked_ms = asked_ms,
 		.heard_ms = clock_ms(),
 		.source = source,
 	};
 
-	if (info->limit == LIMIT_BAD) {
+	if (info->limit == LIMIT_INVALID) {
 		log_bad(t, b, info->limit_text);
 		return;
 	}
--- a/traffic/limits.h
+++ b/traffic/limits.h
@@ -11,7 +11,7 @@
 void limits_init(struct traffic *t);
 struct backend *limits_find(struct traffic *t, uint32_t start);
 void limits_answer(struct traffic *t, struct backend *b,
-		   const struct answer_info *info, int64_t asked_ms,
+		   const struct response_info *info, int64_t asked_ms,
 		   enum limit_source source);
 void limits_told(struct traffic *t, const struct limit_news *news);
 void limits_peers_changed(struct traffic *t);
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -308,7 +308,7 @@
 /* Answers a request that no route takes. */
 static void answer_no_route(struct traffic *t, struct http_conn *c,
 			    struct http_message *m,
-			    const struct call_info *call)
+			    const struct request_info *call)
 {
 	const struct control_view *v = t->control_view;
 	int64_t fresh =
@@ -327,7 +327,7 @@
 		 " news_age_ms=%" G_GINT64_FORMAT,
 		 (int)call->id.len, call->id.ptr, status,
 		 t->config ? t->config->version : 0, clock_ms() - fresh);
-	exchange_write_refusal_headers(
+	exchange_write_error_headers(
 		&headers, call->id,
 		sure ? 0 : retry_after_plain_s(g_rand_double(t->rand)));
 	http_conn_reply(c, &(struct http_reply){.status = status,
@@ -339,13 +339,13 @@
 static void write_own(struct buf *out, struct lstr call_id, unsigned status,
 		      double retry_after_s)
 {
-	exchange_write_refusal_headers(out, call_id, retry_after_s);
+	exchange_write_error_headers(out, call_id, retry_after_s);
 }
 
 static void write_answer(struct buf *out, struct lstr call_id,
 			 const struct http_message *answer)
 {
-	exchange_write_answer_headers(out, answer);
+	exchange_write_response_headers(out, answer);
 }
 
 static const struct caller_protocol platform_protocol = {write_own,
@@ -363,7 +363,7 @@
 
 /* What all attempts of one request have in common. */
 static uint64_t digest_of(const struct http_message *m,
-			  const struct call_info *call)
+			  const struct request_info *call)
 {
 	const struct lstr parts[] = {m->method, call->host, call->caller,
 				     m->target, buf_lstr(&m->body)};
@@ -376,7 +376,7 @@
  * the message belongs to it from now on.
  */
 void request_start(struct traffic *t, struct http_conn *c,
-		   struct http_message *m, const struct call_info *call,
+		   struct http_message *m, const struct request_info *call,
 		   const struct route *route,
 		   const struct caller_protocol *protocol)
 {
@@ -424,9 +424,9 @@
 {
 	struct traffic *t = priv;
 	const struct route *route = NULL;
-	struct call_info call;
+	struct request_info call;
 
-	exchange_read_call(m, &call);
+	exchange_read_request(m, &call);
 	if (!call.host.len || !call.id.len) {
 		mp_event(EV_REQUEST_BAD, G_LOG_LEVEL_INFO,
 			 "a request without host or id");
--- a/traffic/request.h
+++ b/traffic/request.h
@@ -70,7 +70,7 @@
 	struct http_conn *conn; /* NULL: the caller left */
 	struct http_message *message;
 	const struct caller_protocol *protocol;
-	struct call_info call;
+	struct request_info call;
 	uint64_t digest; /* the same for all attempts, see request_digest() */
 	struct config *config;
 	const struct route *route;
@@ -104,7 +104,7 @@
 
 void request_begin(void *priv, struct http_conn *c, struct http_message *m);
 void request_start(struct traffic *t, struct http_conn *c,
-		   struct http_message *m, const struct call_info *call,
+		   struct http_message *m, const struct request_info *call,
 		   const struct route *route,
 		   const struct caller_protocol *protocol);
 void request_gone(void *priv, struct http_conn *c);
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -46,11 +46,12 @@
 	}
 }
 
-static enum http_verdict send_judge(void *owner, const struct answer_info *info)
+static enum http_verdict send_judge(void *owner,
+				    const struct response_info *info)
 {
 	struct send *s = owner;
 
-	if (exchange_is_for(info, s->request->call.id))
+	if (exchange_response_matches(info, s->request->call.id))
 		return HTTP_TAKE;
 	s->request->traffic->counters.foreign_answers++;
 	request_log_foreign(s->request, s, info->id);
@@ -115,7 +116,7 @@
 }
 
 static void send_response(void *owner, struct http_message *m,
-			  const struct answer_info *info)
+			  const struct response_info *info)
 {
 	struct send *s = owner;
 	struct request *r = s->request;
@@ -132,7 +133,7 @@
 	upstream_put(u, now_ms);
 	if (place_has_room(s->backend, now_ms))
 		request_use_room(r->traffic, s->backend);
-	if (info->not_run) {
+	if (info->not_executed) {
 		unsigned status = m->status;
 
 		http_message_free(m);
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -96,11 +96,11 @@
 			 struct http_message *m)
 {
 	struct traffic *t = priv;
-	const struct peer_brief *named[DIRECTORY_MAX];
-	struct lstr addrs[DIRECTORY_MAX];
+	const struct peer_brief *named[DIRECTORY_MAX_ADDRESSES];
+	struct lstr addrs[DIRECTORY_MAX_ADDRESSES];
 	struct buf body = {0};
 	char dc[PEER_NAME_MAX];
-	bool question = directory_question(m->target, dc, sizeof(dc));
+	bool question = directory_parse_target(m->target, dc, sizeof(dc));
 	size_t n = 0;
 
 	http_message_free(m);
@@ -112,10 +112,11 @@
 	if (t->peers.named)
 		n = advise(
 			(const struct peer_brief *)(void *)t->peers.named->data,
-			t->peers.named->len, dc, t->rand, named, DIRECTORY_MAX);
+			t->peers.named->len, dc, t->rand, named,
+			DIRECTORY_MAX_ADDRESSES);
 	for (size_t i = 0; i < n; i++)
 		addrs[i] = lstr0(named[i]->callers);
-	directory_write(&body, addrs, n, t->bounds.directory_keep_s);
+	directory_write_response(&body, addrs, n, t->bounds.directory_keep_s);
 	reply_plain(c, 200, LSTR("Content-Type: application/msgpack\r\n"),
 		    buf_lstr(&body));
 	buf_free(&body);
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -59,7 +59,7 @@
 				  .question = u->question};
 	enum http_verdict verdict;
 
-	exchange_read_answer(m, &answer.info);
+	exchange_read_response(m, &answer.info);
 	verdict = u->ops->judge(u->owner, &answer.info);
 	answer.awaited = verdict == HTTP_TAKE;
 	feedback_apply(u->traffic, u->backend, &answer);
@@ -69,9 +69,9 @@
 static void on_response(void *priv, struct http_message *m)
 {
 	struct upstream *u = priv;
-	struct answer_info info;
+	struct response_info info;
 
-	exchange_read_answer(m, &info);
+	exchange_read_response(m, &info);
 	u->ops->response(u->owner, m, &info);
 }
 
@@ -80,7 +80,7 @@
 	struct upstream *u = priv;
 	struct feedback answer = {.awaited = false};
 
-	exchange_read_answer(m, &answer.info);
+	exchange_read_response(m, &answer.info);
 	feedback_apply(u->traffic, u->backend, &answer);
 }
 
@@ -187,7 +187,7 @@
 }
 
 static enum http_verdict detached_judge(void *owner,
-					const struct answer_info *info)
+					const struct response_info *info)
 {
 	return HTTP_SKIP;
 }
--- a/traffic/upstream.h
+++ b/traffic/upstream.h
@@ -12,10 +12,11 @@
 /* How an owner hears of what became of its request. */
 struct upstream_ops {
 	/* Whose answer is it? */
-	enum http_verdict (*judge)(void *owner, const struct answer_info *info);
+	enum http_verdict (*judge)(void *owner,
+				   const struct response_info *info);
 	/* The awaited answer; m belongs to the callee, `info` is of it. */
 	void (*response)(void *owner, struct http_message *m,
-			 const struct answer_info *info);
+			 const struct response_info *info);
 	/* See struct http_client_ops; -ECANCELED: nothing has left. */
 	void (*failed)(void *owner, int err, bool sent);
 };
