--- a/tests/test_exchange.c
+++ b/tests/test_exchange.c
@@ -1,10 +1,11 @@
-/* Tests of platform/exchange: what stands on the wire, both ways. */
+/* Tests of platform/exchange: decoding and encoding of headers. */
 #include "tests/unit.h"
 
 #include <glib.h>
 
 #include "platform/exchange.h"
 
+/* Parses the text of one complete message. */
 static struct http_message *message(enum http_parser_type type,
 				    const char *text)
 {
@@ -40,7 +41,10 @@
 	http_message_free(m);
 }
 
-/* A server gets what the caller sent, but for what is the instance's. */
+/*
+ * A server gets the caller's request without its hop-by-hop headers and without
+ * forged values of the headers that the instance sets.
+ */
 static void test_write_request(void **state)
 {
 	struct http_message *m = message(
@@ -107,7 +111,7 @@
 	http_message_free(m);
 }
 
-/* Only an answer that says "not run" may come without an id. */
+/* Only a response that says "not executed" may lack the attempt's id. */
 static void test_response_without_attempt_id(void **state)
 {
 	struct response_info a;
@@ -129,7 +133,7 @@
 	exchange_read_response(m, &a);
 	assert_false(exchange_response_matches(&a, LSTR("abc")));
 	http_message_free(m);
-	/* Load without the fourth figure: usual speed. */
+	/* Load without the fourth number: no slowdown. */
 	m = message(HTTP_RESPONSE, "HTTP/1.1 200 OK\r\nServer-Load: 1,0,2\r\n"
 				   "Content-Length: 0\r\n\r\n");
 	exchange_read_response(m, &a);
@@ -153,7 +157,7 @@
 	return a;
 }
 
-/* A limit is a plain decimal number; whatever else stands there is refused. */
+/* A limit is a plain decimal number; anything else is invalid. */
 static void test_limit(void **state)
 {
 	static const char *const bad[] = {
@@ -201,7 +205,7 @@
 	return a;
 }
 
-/* Seconds with fractions; dates and whatever is no decimal number are refused. */
+/* Seconds, may be fractional; dates and other texts are invalid. */
 static void test_backoff(void **state)
 {
 	static const char *const bad[] = {
@@ -241,7 +245,7 @@
 				 BACKOFF_INVALID);
 }
 
-/* A backoff is between server and instance. */
+/* The Retry-After of a 503 is for the instance, others are for the caller. */
 static void test_backoff_is_not_forwarded(void **state)
 {
 	static const unsigned statuses[] = {503, 429, 200};
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -7,14 +7,14 @@
 #include "platform/directory.h"
 #include "platform/records.h"
 
-/* What a test changes in an otherwise proper version. */
+/* Fields of a configuration that tests vary. */
 struct variant {
 	const char *version, *kind, *service;
 	uint64_t timeout, attempts;
 	bool no_timeout, same_path, split;
 };
 
-static const struct variant proper = {
+static const struct variant valid_config = {
 	.version = "0000000c",
 	.kind = "idempotent",
 	.service = "harta",
@@ -74,7 +74,7 @@
 	codec_pack_cstr(&pk, "routes");
 	msgpack_pack_map(&pk, 2);
 	pack_route(&pk, "r-1", "/a/", v);
-	pack_route(&pk, "r-2", v->same_path ? "/a/" : "/b/", &proper);
+	pack_route(&pk, "r-2", v->same_path ? "/a/" : "/b/", &valid_config);
 	codec_pack_cstr(&pk, "services");
 	msgpack_pack_map(&pk, 2);
 	codec_pack_cstr(&pk, "harta");
@@ -106,7 +106,7 @@
 static void test_config(void **state)
 {
 	guint n;
-	struct config *c = decode(&proper, &n);
+	struct config *c = decode(&valid_config, &n);
 	const struct route *r;
 
 	assert_int_equal(n, 0);
@@ -124,7 +124,7 @@
 
 static void test_split(void **state)
 {
-	struct variant v = proper;
+	struct variant v = valid_config;
 	struct config *c;
 	guint n;
 
@@ -149,7 +149,7 @@
 	guint n;
 
 	for (size_t i = 0; i < 8; i++)
-		bad[i] = proper;
+		bad[i] = valid_config;
 	bad[0].kind = "sometimes";
 	bad[1].service = "nobody";
 	bad[2].timeout = 0;
@@ -160,10 +160,10 @@
 	bad[7].timeout = 1000ULL * 3600 * 24;
 	for (size_t i = 0; i < 8; i++) {
 		if (decode(&bad[i], &n) || n == 0)
-			fail_msg("variant %zu was taken", i);
+			fail_msg("variant %zu was accepted", i);
 	}
-	/* Every prefix of a proper version is refused. */
-	pack_version(&b, &proper);
+	/* Every truncation of a valid version is rejected. */
+	pack_version(&b, &valid_config);
 	findings_init(&f);
 	for (size_t k = 0; k < b.len; k++) {
 		char *copy = g_memdup2(b.ptr, k ? k : 1);
@@ -226,7 +226,7 @@
 	assert_int_equal(
 		decode_server("i-1", "10.0.0.9:8080", "draining", true, &e), 0);
 	assert_true(e.draining);
-	/* A state that nobody defined names no server to use. */
+	/* An unknown state makes the entry invalid. */
 	assert_int_equal(
 		decode_server("i-1", "10.0.0.9:8080", "resting", true, &e),
 		-EINVAL);
@@ -239,7 +239,7 @@
 			 -EINVAL);
 }
 
-/* The fields of an entry, each with a value that fits and some that don't. */
+/* A field of a backend server's entry. */
 struct field {
 	const char *name;
 	const char *part; /* NULL: at the top level */
@@ -254,7 +254,7 @@
 	{"warmupLeftMs", "status", false},
 };
 
-/* What is wrong with the one field that a test spoils. */
+/* How a test corrupts a field. */
 enum corruption {
 	CORRUPT_NONE,
 	CORRUPT_MISSING,
@@ -263,7 +263,7 @@
 	CORRUPT_NEGATIVE,
 	CORRUPT_FRACTION,
 	CORRUPT_HUGE,
-	CORRUPT_TYPE_SWAPPED, /* a number for a text, a text for a number */
+	CORRUPT_TYPE_SWAPPED, /* a number for a string or the reverse */
 	CORRUPT_COUNT,
 };
 
@@ -273,6 +273,7 @@
 	       !strcmp(name, "sequenceNumber") || !strcmp(name, "warmupLeftMs");
 }
 
+/* Packs a valid value of a field. */
 static void pack_good(msgpack_packer *pk, const char *name)
 {
 	if (is_number(name))
@@ -285,6 +286,7 @@
 		codec_pack_cstr(pk, "harta");
 }
 
+/* Packs an invalid value of a field. */
 static void pack_corrupt(msgpack_packer *pk, const char *name,
 			 enum corruption how)
 {
@@ -315,43 +317,45 @@
 	}
 }
 
-static void pack_fields(msgpack_packer *pk, const char *part, size_t spoilt,
+/* Packs the fields of one part of an entry; `bad` is the corrupt one. */
+static void pack_fields(msgpack_packer *pk, const char *part, size_t bad,
 			enum corruption how)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
 		if (g_strcmp0(fields[i].part, part) ||
-		    (i == spoilt && how == CORRUPT_MISSING))
+		    (i == bad && how == CORRUPT_MISSING))
 			continue;
 		codec_pack_cstr(pk, fields[i].name);
-		if (i == spoilt)
+		if (i == bad)
 			pack_corrupt(pk, fields[i].name, how);
 		else
 			pack_good(pk, fields[i].name);
 	}
 }
 
-static void pack_entry(struct buf *out, size_t spoilt, enum corruption how)
+/* Packs a whole entry of which one field may be corrupt. */
+static void pack_entry(struct buf *out, size_t bad, enum corruption how)
 {
 	const char *parts[] = {"info", "status"};
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_map(&pk,
-			 4 - (how == CORRUPT_MISSING && !fields[spoilt].part));
-	pack_fields(&pk, NULL, spoilt, how);
+			 4 - (how == CORRUPT_MISSING && !fields[bad].part));
+	pack_fields(&pk, NULL, bad, how);
 	for (size_t k = 0; k < G_N_ELEMENTS(parts); k++) {
 		size_t n = 0;
 
 		for (size_t i = 0; i < G_N_ELEMENTS(fields); i++)
 			n += !g_strcmp0(fields[i].part, parts[k]) &&
-			     !(i == spoilt && how == CORRUPT_MISSING);
+			     !(i == bad && how == CORRUPT_MISSING);
 		codec_pack_cstr(&pk, parts[k]);
 		msgpack_pack_map(&pk, n);
-		pack_fields(&pk, parts[k], spoilt, how);
+		pack_fields(&pk, parts[k], bad, how);
 	}
 }
 
-/* An entry with one field missing or of another type names no server. */
+/* An entry with one field missing or of the wrong type is invalid. */
 static void test_corrupt_fields(void **state)
 {
 	struct backend_entry e;
@@ -380,8 +384,8 @@
 }
 
 /*
- * Entries with bytes changed or cut off, by seed: each is refused or names a
- * server whose every field is in range.
+ * Entries with random bytes changed or the end cut off, from a fixed seed.
+ * Each is rejected or decoded to fields that are all in range.
  */
 static void test_corrupt_bytes(void **state)
 {
@@ -425,7 +429,7 @@
 	assert_true(directory_parse_target(
 		LSTR("/resolution?name=x&region=r&zone=gt-a%2d1"), dc, 16));
 	assert_string_equal(dc, "gt-a-1");
-	/* A name too long for any data centre, and none at all. */
+	/* A name that doesn't fit, and a malformed query. */
 	assert_true(directory_parse_target(
 		LSTR("/resolution?zone=0123456789abcdef"), dc, 16));
 	assert_string_equal(dc, "");
--- a/tests/test_store_era.c
+++ b/tests/test_store_era.c
@@ -1,6 +1,6 @@
 /*
- * Tests of platform/store and platform/store_era: what era an answer is of, and what
- * it is worth when that isn't the one that was asked in.
+ * Tests of platform/store and platform/store_era: the era of a response, and
+ * the result of a call whose response is of another era than its request.
  */
 #include "tests/unit.h"
 
@@ -43,7 +43,7 @@
 	return 0;
 }
 
-/* Runs until the call has its outcome, which is expected to be `err`. */
+/* Runs the loop until the call is complete, and checks its error. */
 static void expect(int err)
 {
 	unsigned before = completions;
@@ -53,6 +53,7 @@
 	assert_int_equal(last.err, err);
 }
 
+/* Lists a topic with one response of the given status and era. */
 static void list(unsigned status, const char *era, int err)
 {
 	scripted_answer(store, status, era, scripted_page("a", 7, false));
@@ -79,7 +80,7 @@
 	list(200, "3", 0);
 	assert_int_equal(last.end.era, 3);
 	assert_int_equal(last.end.offset, 7);
-	/* So do those that refuse, and appends. */
+	/* Errors and responses to appends have an era too. */
 	list(503, "4", -EBUSY);
 	assert_int_equal(store->endpoint.era, 4);
 	list(410, "7", -ERANGE);
@@ -115,7 +116,7 @@
 	list(200, "4", -ECANCELED);
 	list(503, "4", -ECANCELED);
 	assert_int_equal(store->endpoint.era, 5);
-	/* A peer told of the rise while the call was under way. */
+	/* A peer reports a higher era while the call is in progress. */
 	store_list(&channel, TOPIC, LSTR(""));
 	while (!store->held)
 		ev_run(store->loop, EVRUN_ONCE);
@@ -131,7 +132,7 @@
 	scripted_answer(store, 200, "2", scripted_no_records());
 	store_read(&channel, TOPIC, at(1, 7), 0);
 	expect(-ERANGE);
-	/* The bookmark is of the present era again. */
+	/* A position of the current era is valid. */
 	scripted_answer(store, 200, "2", scripted_no_records());
 	store_read(&channel, TOPIC, at(2, 4), 0);
 	expect(0);
@@ -146,7 +147,7 @@
 	scripted_answer(store, 200, "2", scripted_page("de", 9, false));
 	store_list(&channel, TOPIC, LSTR("c"));
 	expect(-ERANGE);
-	/* From its first page on the listing is of one era. */
+	/* All pages are of one era. */
 	scripted_answer(store, 200, "2", scripted_page("abc", 9, true));
 	store_list(&channel, TOPIC, LSTR(""));
 	expect(0);
@@ -155,7 +156,10 @@
 	expect(0);
 }
 
-/* The end that a condition names may be met by chance in another log. */
+/*
+ * In a new era the topic may end at the same offset by chance, so a condition
+ * of an earlier era says nothing about the write.
+ */
 static void test_conditional_append_across_eras(void **state)
 {
 	struct store_position end = at(1, 7);
@@ -167,7 +171,7 @@
 	scripted_answer(store, 412, "3", (struct buf){0});
 	store_append(&channel, TOPIC, LSTR("k"), LSTR("v"), &end);
 	expect(-ESTALE);
-	/* One without a condition counts, whatever era it was sent in. */
+	/* Without a condition the era doesn't matter. */
 	scripted_answer(store, 200, "4", (struct buf){0});
 	store_append(&channel, TOPIC, LSTR("k"), LSTR("v"), NULL);
 	expect(0);
