--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -34,7 +34,7 @@
 	c->pos = rec->pos;
 	if (rec->value.len == 0)
 		return decode_key(rec, c);
-	if (record_backend(rec->key, rec->value, &c->entry) == 0)
+	if (records_decode_backend(rec->key, rec->value, &c->entry) == 0)
 		return true;
 	mp_event(EV_MEMBER_BAD_RECORD, G_LOG_LEVEL_WARNING,
 		 "record %" G_GUINT64_FORMAT " of '%.*s' can't be decoded",
@@ -125,7 +125,7 @@
 	}
 	apply_records(w, r, now_ms);
 	if (r->more) {
-		store_newest(&w->store, STORE_TOPIC_BACKENDS, r->last_key);
+		store_list(&w->store, STORE_TOPIC_BACKENDS, r->last_key);
 		return;
 	}
 	w->listing = false;
@@ -198,7 +198,7 @@
 	if (!w->full_listing)
 		store_read(&w->store, STORE_TOPIC_BACKENDS, w->list.pos, 0);
 	else
-		store_newest(&w->store, STORE_TOPIC_BACKENDS, LSTR(""));
+		store_list(&w->store, STORE_TOPIC_BACKENDS, LSTR(""));
 }
 
 /*
@@ -217,7 +217,7 @@
 			(rank == 0 && !backend_watch_is_current(w));
 
 	backend_list_apply_deferred(&w->list, now_ms);
-	if (w->store.call != STORE_NO_CALL || !(may_list || w->list.loaded))
+	if (w->store.call != STORE_IDLE || !(may_list || w->list.loaded))
 		return;
 	if (list_now && w->failures == 0)
 		due = 0;
@@ -253,7 +253,7 @@
 {
 	w->era_ms = now_ms;
 	w->failures = 0;
-	if (!store_call_is_old(&w->store))
+	if (!store_call_is_stale(&w->store))
 		return;
 	store_cancel(&w->store);
 	w->listing = false;
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -267,7 +267,7 @@
 {
 	w->call_sent_ms = clock_ms();
 	if (!w->listed || w->relist || !is_bookmark_valid(w))
-		store_newest(&w->store, w->source.topic, LSTR(""));
+		store_list(&w->store, w->source.topic, LSTR(""));
 	else
 		store_read(&w->store, w->source.topic, w->pos,
 			   config_poll_wait_ms(g_random_double()));
@@ -276,7 +276,7 @@
 /* Returns whether no call is pending and none is scheduled. */
 static bool is_idle(const struct config_watch *w)
 {
-	return w->store.call == STORE_NO_CALL && !ev_is_active(&w->retry);
+	return w->store.call == STORE_IDLE && !ev_is_active(&w->retry);
 }
 
 /*
@@ -385,7 +385,7 @@
 		return w->invalid_digest == m->digest ? CONFIG_NO_ACTION
 						      : CONFIG_ASK_PEER;
 	/* A call sent after that time returns it, however long it takes. */
-	if (w->store.call != STORE_NO_CALL && w->call_sent_ms < w->behind_ms &&
+	if (w->store.call != STORE_IDLE && w->call_sent_ms < w->behind_ms &&
 	    now_ms - w->behind_ms > IN_TRANSIT_MS)
 		config_watch_restart(w);
 	/* A peer was able to read it, so the pause after a failure ends. */
@@ -461,9 +461,9 @@
 	w->era_ms = now_ms;
 	w->fresh_ms = 0;
 	w->peer_confirmed_ms = 0;
-	if (store_call_is_old(&w->store))
+	if (store_call_is_stale(&w->store))
 		store_cancel(&w->store);
-	if (w->store.call == STORE_NO_CALL && w->polls)
+	if (w->store.call == STORE_IDLE && w->polls)
 		schedule_read(w, 0);
 }
 
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -164,7 +164,7 @@
 	for (size_t i = 0; i < res->nrecords; i++)
 		apply_record(r, &res->records[i]);
 	if (res->more)
-		store_newest(&r->store, STORE_TOPIC_MEMBERS, res->last_key);
+		store_list(&r->store, STORE_TOPIC_MEMBERS, res->last_key);
 	else
 		compare(r, clock_ms());
 }
@@ -209,11 +209,11 @@
 		if (!r->first_era)
 			r->first_era = era;
 	}
-	if (!first || now_ms < r->due_ms || r->store.call != STORE_NO_CALL)
+	if (!first || now_ms < r->due_ms || r->store.call != STORE_IDLE)
 		return;
 	if (MAX(r->checked_era, peers_records_era(r->peers)) >= era)
 		return;
-	store_newest(&r->store, STORE_TOPIC_MEMBERS, LSTR(""));
+	store_list(&r->store, STORE_TOPIC_MEMBERS, LSTR(""));
 }
 
 /*
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -165,7 +165,7 @@
 	assert_int_equal(w.store.call, STORE_READ);
 	/* No answer came: the read is repeated on another connection. */
 	assert_int_equal(receive_mark(&w, 6, 12, 0, 10800), CONFIG_NO_ACTION);
-	assert_int_equal(w.store.call, STORE_NO_CALL);
+	assert_int_equal(w.store.call, STORE_IDLE);
 	assert_true(ev_is_active(&w.retry));
 	ev_timer_stop(w.loop, &w.retry);
 	/* This call was sent after the report, and takes two seconds. */
@@ -190,7 +190,7 @@
 	assert_int_equal(config_watch_age_ms(&w, 11000, 11100), 100);
 	/* The poll should have been answered by now. */
 	assert_int_equal(config_watch_age_ms(&w, 13900, 14000), 4000);
-	w.store.call = STORE_NO_CALL;
+	w.store.call = STORE_IDLE;
 	assert_int_equal(config_watch_age_ms(&w, 11000, 11100), 1100);
 	buf_free(&w.record);
 }
@@ -367,7 +367,7 @@
 	w.store.call = STORE_READ;
 	w.call_sent_ms = 19990;
 	raise_era(&w, 1);
-	assert_int_equal(w.store.call, STORE_NO_CALL);
+	assert_int_equal(w.store.call, STORE_IDLE);
 	assert_int_equal(config_watch_age_ms(&w, 19999, 20000), AGE_UNKNOWN);
 	/* Nor does a peer that is still in the old era. */
 	assert_int_equal(config_watch_on_mark(&w, &old, 20000),
--- a/tests/test_record_check.c
+++ b/tests/test_record_check.c
@@ -58,7 +58,7 @@
 			  &f->channel, on_verdict, f);
 	record_check_init(&f->check, f->store->loop, &f->store->endpoint,
 			  &f->channel.peers, &f->crashes);
-	store_endpoint_learn(&f->store->endpoint, 1, "test");
+	store_endpoint_update_era(&f->store->endpoint, 1, "test");
 	record_check_tick(&f->check, true, f->now_ms);
 	return f;
 }
@@ -126,7 +126,7 @@
 static void run_until(struct fixture *f, unsigned requests)
 {
 	while (f->store->requests < requests ||
-	       f->check.store.call != STORE_NO_CALL)
+	       f->check.store.call != STORE_IDLE)
 		ev_run(f->store->loop, EVRUN_ONCE);
 }
 
@@ -139,7 +139,7 @@
 /* The store enters another era; `first`: it is this instance's turn. */
 static void raise_era(struct fixture *f, uint64_t era, bool first)
 {
-	store_endpoint_learn(&f->store->endpoint, era, "test");
+	store_endpoint_update_era(&f->store->endpoint, era, "test");
 	record_check_tick(&f->check, first, f->now_ms);
 	record_check_tick(&f->check, first, f->now_ms + SETTLED_MS);
 }
@@ -176,7 +176,7 @@
 	assert_int_equal(f->check.checked_era, 2);
 	/* No second check in this era. */
 	record_check_tick(&f->check, true, f->now_ms + 9000);
-	assert_int_equal(f->check.store.call, STORE_NO_CALL);
+	assert_int_equal(f->check.store.call, STORE_IDLE);
 	end(f);
 }
 
@@ -199,7 +199,7 @@
 
 	/* This instance isn't the first. */
 	raise_era(f, 2, false);
-	assert_int_equal(f->check.store.call, STORE_NO_CALL);
+	assert_int_equal(f->check.store.call, STORE_IDLE);
 	/*
 	 * The first instance has stopped, and another one has written the
 	 * records.
@@ -207,10 +207,10 @@
 	p.records_era = 2;
 	peers_note_heartbeat(&f->channel.peers, &p, f->now_ms);
 	record_check_tick(&f->check, true, f->now_ms + SETTLED_MS);
-	assert_int_equal(f->check.store.call, STORE_NO_CALL);
+	assert_int_equal(f->check.store.call, STORE_IDLE);
 	/* No instance has written them in the next era. */
 	raise_era(f, 3, true);
-	assert_int_equal(f->check.store.call, STORE_NEWEST);
+	assert_int_equal(f->check.store.call, STORE_LIST);
 	end(f);
 }
 
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -7,14 +7,14 @@
 #include "platform/directory.h"
 #include "platform/records.h"
 
-/* What a test changes in an otherwise proper version. */
+/* Fields of a configuration that tests vary. */
 struct variant {
 	const char *version, *kind, *service;
 	uint64_t timeout, attempts;
-	bool no_timeout, same_place, split;
+	bool no_timeout, same_path, split;
 };
 
-static const struct variant proper = {
+static const struct variant valid_config = {
 	.version = "0000000c",
 	.kind = "idempotent",
 	.service = "harta",
@@ -74,7 +74,7 @@
 	codec_pack_cstr(&pk, "routes");
 	msgpack_pack_map(&pk, 2);
 	pack_route(&pk, "r-1", "/a/", v);
-	pack_route(&pk, "r-2", v->same_place ? "/a/" : "/b/", &proper);
+	pack_route(&pk, "r-2", v->same_path ? "/a/" : "/b/", &valid_config);
 	codec_pack_cstr(&pk, "services");
 	msgpack_pack_map(&pk, 2);
 	codec_pack_cstr(&pk, "harta");
@@ -96,7 +96,7 @@
 
 	findings_init(&f);
 	pack_version(&b, v);
-	c = record_config(buf_lstr(&b), &f);
+	c = records_decode_config(buf_lstr(&b), &f);
 	*findings = f.list->len;
 	findings_clear(&f);
 	buf_free(&b);
@@ -106,7 +106,7 @@
 static void test_config(void **state)
 {
 	guint n;
-	struct config *c = decode(&proper, &n);
+	struct config *c = decode(&valid_config, &n);
 	const struct route *r;
 
 	assert_int_equal(n, 0);
@@ -124,7 +124,7 @@
 
 static void test_split(void **state)
 {
-	struct variant v = proper;
+	struct variant v = valid_config;
 	struct config *c;
 	guint n;
 
@@ -141,7 +141,7 @@
 	config_unref(c);
 }
 
-static void test_unfit_versions(void **state)
+static void test_invalid_versions(void **state)
 {
 	struct variant bad[8];
 	struct buf b = {0};
@@ -149,26 +149,26 @@
 	guint n;
 
 	for (size_t i = 0; i < 8; i++)
-		bad[i] = proper;
+		bad[i] = valid_config;
 	bad[0].kind = "sometimes";
 	bad[1].service = "nobody";
 	bad[2].timeout = 0;
 	bad[3].attempts = 0;
 	bad[4].no_timeout = true;
-	bad[5].same_place = true;
+	bad[5].same_path = true;
 	bad[6].version = "not hex";
 	bad[7].timeout = 1000ULL * 3600 * 24;
 	for (size_t i = 0; i < 8; i++) {
 		if (decode(&bad[i], &n) || n == 0)
-			fail_msg("variant %zu was taken", i);
+			fail_msg("variant %zu was accepted", i);
 	}
-	/* Every prefix of a proper version is refused. */
-	pack_version(&b, &proper);
+	/* Every truncation of a valid version is rejected. */
+	pack_version(&b, &valid_config);
 	findings_init(&f);
 	for (size_t k = 0; k < b.len; k++) {
 		char *copy = g_memdup2(b.ptr, k ? k : 1);
 
-		assert_null(record_config((struct lstr){copy, k}, &f));
+		assert_null(records_decode_config((struct lstr){copy, k}, &f));
 		g_free(copy);
 	}
 	findings_clear(&f);
@@ -205,7 +205,7 @@
 	int rc;
 
 	pack_server(&b, addr, state, with_status);
-	rc = record_backend(lstr0(id), buf_lstr(&b), e);
+	rc = records_decode_backend(lstr0(id), buf_lstr(&b), e);
 	buf_free(&b);
 	return rc;
 }
@@ -226,7 +226,7 @@
 	assert_int_equal(
 		decode_server("i-1", "10.0.0.9:8080", "draining", true, &e), 0);
 	assert_true(e.draining);
-	/* A state that nobody defined names no server to use. */
+	/* An unknown state makes the entry invalid. */
 	assert_int_equal(
 		decode_server("i-1", "10.0.0.9:8080", "resting", true, &e),
 		-EINVAL);
@@ -239,11 +239,11 @@
 			 -EINVAL);
 }
 
-/* The fields of an entry, each with a value that fits and some that don't. */
+/* A field of a backend server's entry. */
 struct field {
 	const char *name;
 	const char *part; /* NULL: at the top level */
-	bool may_lack;
+	bool optional;
 };
 
 static const struct field fields[] = {
@@ -254,17 +254,17 @@
 	{"warmupLeftMs", "status", false},
 };
 
-/* What is wrong with the one field that a test spoils. */
-enum spoil {
-	SPOIL_NOTHING,
-	SPOIL_MISSING,
-	SPOIL_LIST,
-	SPOIL_NIL,
-	SPOIL_NEGATIVE,
-	SPOIL_FRACTION,
-	SPOIL_HUGE,
-	SPOIL_SWAPPED, /* a number for a text, a text for a number */
-	SPOIL_COUNT,
+/* How a test corrupts a field. */
+enum corruption {
+	CORRUPT_NONE,
+	CORRUPT_MISSING,
+	CORRUPT_ARRAY,
+	CORRUPT_NIL,
+	CORRUPT_NEGATIVE,
+	CORRUPT_FRACTION,
+	CORRUPT_HUGE,
+	CORRUPT_TYPE_SWAPPED, /* a number for a string or the reverse */
+	CORRUPT_COUNT,
 };
 
 static bool is_number(const char *name)
@@ -273,6 +273,7 @@
 	       !strcmp(name, "sequenceNumber") || !strcmp(name, "warmupLeftMs");
 }
 
+/* Packs a valid value of a field. */
 static void pack_good(msgpack_packer *pk, const char *name)
 {
 	if (is_number(name))
@@ -285,25 +286,27 @@
 		codec_pack_cstr(pk, "harta");
 }
 
-static void pack_spoilt(msgpack_packer *pk, const char *name, enum spoil how)
+/* Packs an invalid value of a field. */
+static void pack_corrupt(msgpack_packer *pk, const char *name,
+			 enum corruption how)
 {
 	switch (how) {
-	case SPOIL_LIST:
+	case CORRUPT_ARRAY:
 		msgpack_pack_array(pk, 0);
 		break;
-	case SPOIL_NIL:
+	case CORRUPT_NIL:
 		msgpack_pack_nil(pk);
 		break;
-	case SPOIL_NEGATIVE:
+	case CORRUPT_NEGATIVE:
 		msgpack_pack_int(pk, -1);
 		break;
-	case SPOIL_FRACTION:
+	case CORRUPT_FRACTION:
 		msgpack_pack_double(pk, 2.5);
 		break;
-	case SPOIL_HUGE:
+	case CORRUPT_HUGE:
 		msgpack_pack_double(pk, 1e300);
 		break;
-	case SPOIL_SWAPPED:
+	case CORRUPT_TYPE_SWAPPED:
 		if (is_number(name))
 			codec_pack_cstr(pk, "7");
 		else
@@ -314,74 +317,77 @@
 	}
 }
 
-static void pack_fields(msgpack_packer *pk, const char *part, size_t spoilt,
-			enum spoil how)
+/* Packs the fields of one part of an entry; `bad` is the corrupt one. */
+static void pack_fields(msgpack_packer *pk, const char *part, size_t bad,
+			enum corruption how)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
 		if (g_strcmp0(fields[i].part, part) ||
-		    (i == spoilt && how == SPOIL_MISSING))
+		    (i == bad && how == CORRUPT_MISSING))
 			continue;
 		codec_pack_cstr(pk, fields[i].name);
-		if (i == spoilt)
-			pack_spoilt(pk, fields[i].name, how);
+		if (i == bad)
+			pack_corrupt(pk, fields[i].name, how);
 		else
 			pack_good(pk, fields[i].name);
 	}
 }
 
-static void pack_entry(struct buf *out, size_t spoilt, enum spoil how)
+/* Packs a whole entry of which one field may be corrupt. */
+static void pack_entry(struct buf *out, size_t bad, enum corruption how)
 {
 	const char *parts[] = {"info", "status"};
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_map(&pk,
-			 4 - (how == SPOIL_MISSING && !fields[spoilt].part));
-	pack_fields(&pk, NULL, spoilt, how);
+			 4 - (how == CORRUPT_MISSING && !fields[bad].part));
+	pack_fields(&pk, NULL, bad, how);
 	for (size_t k = 0; k < G_N_ELEMENTS(parts); k++) {
 		size_t n = 0;
 
 		for (size_t i = 0; i < G_N_ELEMENTS(fields); i++)
 			n += !g_strcmp0(fields[i].part, parts[k]) &&
-			     !(i == spoilt && how == SPOIL_MISSING);
+			     !(i == bad && how == CORRUPT_MISSING);
 		codec_pack_cstr(&pk, parts[k]);
 		msgpack_pack_map(&pk, n);
-		pack_fields(&pk, parts[k], spoilt, how);
+		pack_fields(&pk, parts[k], bad, how);
 	}
 }
 
-/* An entry with one field missing or of another type names no server. */
-static void test_spoilt_entries(void **state)
+/* An entry with one field missing or of the wrong type is invalid. */
+static void test_corrupt_fields(void **state)
 {
 	struct backend_entry e;
 	struct buf b = {0};
 
-	pack_entry(&b, 0, SPOIL_NOTHING);
-	assert_int_equal(record_backend(LSTR("i-1"), buf_lstr(&b), &e), 0);
+	pack_entry(&b, 0, CORRUPT_NONE);
+	assert_int_equal(records_decode_backend(LSTR("i-1"), buf_lstr(&b), &e),
+			 0);
 	assert_int_equal(e.server_start_ms, 7);
 	assert_int_equal(e.sequence, 7);
 	assert_int_equal(e.slots, 7);
 	for (size_t i = 0; i < G_N_ELEMENTS(fields); i++) {
-		for (int how = SPOIL_MISSING; how < SPOIL_COUNT; how++) {
-			int want = fields[i].may_lack && how == SPOIL_MISSING
+		for (int how = CORRUPT_MISSING; how < CORRUPT_COUNT; how++) {
+			int want = fields[i].optional && how == CORRUPT_MISSING
 					   ? 0
 					   : -EINVAL;
 
 			b.len = 0;
-			pack_entry(&b, i, (enum spoil)how);
-			assert_int_equal(
-				record_backend(LSTR("i-1"), buf_lstr(&b), &e),
-				want);
+			pack_entry(&b, i, (enum corruption)how);
+			assert_int_equal(records_decode_backend(
+						 LSTR("i-1"), buf_lstr(&b), &e),
+					 want);
 		}
 	}
 	buf_free(&b);
 }
 
 /*
- * Entries with bytes changed or cut off, by seed: each is refused or names a
- * server whose every field is in range.
+ * Entries with random bytes changed or the end cut off, from a fixed seed.
+ * Each is rejected or decoded to fields that are all in range.
  */
-static void test_mangled_entries(void **state)
+static void test_corrupt_bytes(void **state)
 {
 	GRand *rand = g_rand_new_with_seed(41);
 
@@ -390,14 +396,14 @@
 		struct buf b = {0};
 		int changes = g_rand_int_range(rand, 1, 4);
 
-		pack_entry(&b, 0, SPOIL_NOTHING);
+		pack_entry(&b, 0, CORRUPT_NONE);
 		for (int k = 0; k < changes; k++)
 			b.ptr[g_rand_int_range(rand, 0, (gint32)b.len)] =
 				(char)g_rand_int_range(rand, 0, 256);
 		if (i % 3 == 0)
 			b.len = (size_t)g_rand_int_range(rand, 0,
 							 (gint32)b.len);
-		if (!record_backend(LSTR("i-1"), buf_lstr(&b), &e)) {
+		if (!records_decode_backend(LSTR("i-1"), buf_lstr(&b), &e)) {
 			assert_in_range(e.slots, 1, 100 * 1000);
 			assert_true(e.service[0] && e.dc[0]);
 			assert_string_equal(e.id, "i-1");
@@ -416,22 +422,22 @@
 	size_t off = 0;
 	char dc[16];
 
-	assert_true(directory_question(LSTR("/resolution?name=x"), dc, 16));
+	assert_true(directory_parse_target(LSTR("/resolution?name=x"), dc, 16));
 	assert_string_equal(dc, "");
-	assert_true(directory_question(LSTR("/resolution"), dc, 16));
+	assert_true(directory_parse_target(LSTR("/resolution"), dc, 16));
 	assert_string_equal(dc, "");
-	assert_true(directory_question(
+	assert_true(directory_parse_target(
 		LSTR("/resolution?name=x&region=r&zone=gt-a%2d1"), dc, 16));
 	assert_string_equal(dc, "gt-a-1");
-	/* A name too long for any data centre, and none at all. */
-	assert_true(directory_question(
+	/* A name that doesn't fit, and a malformed query. */
+	assert_true(directory_parse_target(
 		LSTR("/resolution?zone=0123456789abcdef"), dc, 16));
 	assert_string_equal(dc, "");
-	assert_true(directory_question(LSTR("/resolution?&&=%zz"), dc, 16));
+	assert_true(directory_parse_target(LSTR("/resolution?&&=%zz"), dc, 16));
 	assert_string_equal(dc, "");
-	assert_false(directory_question(LSTR("/resolutions"), dc, 16));
-	assert_false(directory_question(LSTR("/"), dc, 16));
-	directory_write(&b, addrs, 2, 2.5);
+	assert_false(directory_parse_target(LSTR("/resolutions"), dc, 16));
+	assert_false(directory_parse_target(LSTR("/"), dc, 16));
+	directory_write_response(&b, addrs, 2, 2.5);
 	msgpack_unpacked_init(&u);
 	assert_int_equal(msgpack_unpack_next(&u, b.ptr, b.len, &off),
 			 MSGPACK_UNPACK_SUCCESS);
@@ -448,10 +454,10 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_config),
 		cmocka_unit_test(test_split),
-		cmocka_unit_test(test_unfit_versions),
+		cmocka_unit_test(test_invalid_versions),
 		cmocka_unit_test(test_backend),
-		cmocka_unit_test(test_spoilt_entries),
-		cmocka_unit_test(test_mangled_entries),
+		cmocka_unit_test(test_corrupt_fields),
+		cmocka_unit_test(test_corrupt_bytes),
 		cmocka_unit_test(test_directory),
 	};
 
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -52,11 +52,12 @@
  * Returns whether the response is from b; another start of the server may
  * respond at the same address.
  */
-static bool is_from(const struct backend *b, const struct answer_info *info)
+static bool is_from(const struct backend *b, const struct response_info *info)
 {
 	if (info->misdirected)
 		return false;
-	return !info->backend.ptr || lstr_eq(info->backend, lstr0(b->entry.id));
+	return !info->backend_id.ptr ||
+	       lstr_eq(info->backend_id, lstr0(b->entry.id));
 }
 
 /*
@@ -66,12 +67,12 @@
 static void apply_limit(struct traffic *t, struct backend *b,
 			const struct feedback *f)
 {
-	bool own = f->info.sealed || f->info.not_run || f->probe;
+	bool own = f->info.sealed || f->info.not_executed || f->probe;
 
 	if (f->solicited && own)
 		limits_response(t, b, &f->info, f->sent_ms,
 				f->probe ? LIMIT_BY_PROBE : LIMIT_BY_RESPONSE);
-	else if (!f->solicited && f->info.limit == LIMIT_NAMED)
+	else if (!f->solicited && f->info.limit == LIMIT_SET)
 		limits_response(t, b, &f->info, 0, LIMIT_BY_RESPONSE);
 }
 
@@ -79,7 +80,7 @@
 void feedback_apply(struct traffic *t, struct backend *b,
 		    const struct feedback *f)
 {
-	const struct answer_info *info = &f->info;
+	const struct response_info *info = &f->info;
 
 	if (!is_from(b, info))
 		return;
--- a/traffic/feedback.h
+++ b/traffic/feedback.h
@@ -10,7 +10,7 @@
 
 /* A response from a server's address. */
 struct feedback {
-	struct answer_info info;
+	struct response_info info;
 	bool solicited;	 /* response to the last request on the connection */
 	bool probe;	 /* that request was a load probe */
 	int64_t sent_ms; /* when that request was sent */
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -191,19 +191,19 @@
  * limit. Changes are sent to the peers at once.
  */
 void limits_response(struct traffic *t, struct backend *b,
-		     const struct answer_info *info, int64_t asked_ms,
+		     const struct response_info *info, int64_t asked_ms,
 		     enum limit_source source)
 {
 	struct limit_gossip news = {.n = 0};
 	struct limit_report w = {
-		.limited = info->limit == LIMIT_NAMED,
+		.limited = info->limit == LIMIT_SET,
 		.per_s = info->limit_per_s,
 		.sent_ms = asked_ms,
 		.received_ms = clock_ms(),
 		.source = source,
 	};
 
-	if (info->limit == LIMIT_BAD) {
+	if (info->limit == LIMIT_INVALID) {
 		log_invalid(t, b, info->limit_text);
 		return;
 	}
--- a/traffic/probe.c
+++ b/traffic/probe.c
@@ -46,12 +46,12 @@
 }
 
 static enum http_verdict probe_judge(void *owner,
-				     const struct answer_info *info)
+				     const struct response_info *info)
 {
 	struct probe *p = owner;
 
 	/* Only a response that names its server answers a probe. */
-	if (info->id.ptr || !info->backend.ptr) {
+	if (info->id.ptr || !info->backend_id.ptr) {
 		p->traffic->counters.foreign_answers++;
 		return HTTP_SKIP;
 	}
@@ -90,7 +90,8 @@
  * response without load marks the service as not reporting, but only if it
  * comes from a healthy server: a failing or draining one may omit its load.
  */
-static bool record_load_report(struct probe *p, const struct answer_info *info,
+static bool record_load_report(struct probe *p,
+			       const struct response_info *info,
 			       unsigned status, int64_t now_ms)
 {
 	struct service *s = p->backend->service;
@@ -123,13 +124,13 @@
  * another process has replaced.
  */
 static void probe_response(void *owner, struct http_message *m,
-			   const struct answer_info *info)
+			   const struct response_info *info)
 {
 	struct probe *p = owner;
 	int64_t now_ms = clock_ms();
 
 	p->pending = false;
-	if (!lstr_eq(info->backend, lstr0(p->backend->entry.id))) {
+	if (!lstr_eq(info->backend_id, lstr0(p->backend->entry.id))) {
 		probe_close(p);
 		remove_replaced_backend(p->traffic, p->backend);
 	} else {
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -315,7 +315,7 @@
  */
 static void respond_no_route(struct traffic *t, struct http_conn *c,
 			     struct http_message *m,
-			     const struct call_info *call)
+			     const struct request_info *call)
 {
 	const struct control_view *v = t->control_view;
 	int64_t updated_ms =
@@ -334,7 +334,7 @@
 		 " news_age_ms=%" G_GINT64_FORMAT,
 		 (int)call->id.len, call->id.ptr, status,
 		 t->config ? t->config->version : 0, clock_ms() - updated_ms);
-	exchange_write_refusal_headers(
+	exchange_write_error_headers(
 		&headers, call->id,
 		is_current ? 0 : retry_after_default_s(g_rand_double(t->rand)));
 	http_conn_reply(c, &(struct http_reply){.status = status,
@@ -346,13 +346,13 @@
 static void write_local_headers(struct buf *out, struct lstr call_id,
 				unsigned status, double retry_after_s)
 {
-	exchange_write_refusal_headers(out, call_id, retry_after_s);
+	exchange_write_error_headers(out, call_id, retry_after_s);
 }
 
 static void write_response_headers(struct buf *out, struct lstr call_id,
 				   const struct http_message *answer)
 {
-	exchange_write_answer_headers(out, answer);
+	exchange_write_response_headers(out, answer);
 }
 
 static const struct caller_protocol platform_protocol = {
@@ -371,7 +371,7 @@
 
 /* Hashes what all attempts of a request have in common. */
 static uint64_t compute_digest(const struct http_message *m,
-			       const struct call_info *call)
+			       const struct request_info *call)
 {
 	const struct lstr parts[] = {m->method, call->host, call->caller,
 				     m->target, buf_lstr(&m->body)};
@@ -384,7 +384,7 @@
  * ownership of the message.
  */
 void request_start(struct traffic *t, struct http_conn *c,
-		   struct http_message *m, const struct call_info *call,
+		   struct http_message *m, const struct request_info *call,
 		   const struct route *route,
 		   const struct caller_protocol *protocol)
 {
@@ -434,9 +434,9 @@
 {
 	struct traffic *t = priv;
 	const struct route *route = NULL;
-	struct call_info call;
+	struct request_info call;
 
-	exchange_read_call(m, &call);
+	exchange_read_request(m, &call);
 	if (!call.host.len || !call.id.len) {
 		mp_event(EV_REQUEST_BAD, G_LOG_LEVEL_INFO,
 			 "request without host or id");
--- a/traffic/request.h
+++ b/traffic/request.h
@@ -71,7 +71,7 @@
 	struct http_conn *conn; /* NULL after the caller disconnected */
 	struct http_message *message;
 	const struct caller_protocol *protocol;
-	struct call_info call;
+	struct request_info call;
 	uint64_t digest; /* equal for all attempts, see request_digest() */
 	struct config *config;
 	const struct route *route;
@@ -106,7 +106,7 @@
 
 void request_receive(void *priv, struct http_conn *c, struct http_message *m);
 void request_start(struct traffic *t, struct http_conn *c,
-		   struct http_message *m, const struct call_info *call,
+		   struct http_message *m, const struct request_info *call,
 		   const struct route *route,
 		   const struct caller_protocol *protocol);
 void request_caller_left(void *priv, struct http_conn *c);
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -96,11 +96,11 @@
 			 struct http_message *m)
 {
 	struct traffic *t = priv;
-	const struct peer_endpoint *advised[DIRECTORY_MAX];
-	struct lstr addrs[DIRECTORY_MAX];
+	const struct peer_endpoint *advised[DIRECTORY_MAX_ADDRESSES];
+	struct lstr addrs[DIRECTORY_MAX_ADDRESSES];
 	struct buf body = {0};
 	char dc[PEER_NAME_MAX];
-	bool valid = directory_question(m->target, dc, sizeof(dc));
+	bool valid = directory_parse_target(m->target, dc, sizeof(dc));
 	size_t n = 0;
 
 	http_message_free(m);
@@ -113,10 +113,10 @@
 		n = select_instances((const struct peer_endpoint *)(void *)
 					     t->peers.named->data,
 				     t->peers.named->len, dc, t->rand, advised,
-				     DIRECTORY_MAX);
+				     DIRECTORY_MAX_ADDRESSES);
 	for (size_t i = 0; i < n; i++)
 		addrs[i] = lstr0(advised[i]->caller_addr);
-	directory_write(&body, addrs, n, t->bounds.directory_keep_s);
+	directory_write_response(&body, addrs, n, t->bounds.directory_keep_s);
 	reply_plain(c, 200, LSTR("Content-Type: application/msgpack\r\n"),
 		    buf_lstr(&body));
 	buf_free(&body);
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -59,7 +59,7 @@
 	struct feedback f = {.sent_ms = u->sent_ms, .probe = u->is_probe};
 	enum http_verdict verdict;
 
-	exchange_read_answer(m, &f.info);
+	exchange_read_response(m, &f.info);
 	verdict = u->ops->judge(u->owner, &f.info);
 	f.solicited = verdict == HTTP_TAKE;
 	feedback_apply(u->traffic, u->backend, &f);
@@ -69,9 +69,9 @@
 static void on_response(void *priv, struct http_message *m)
 {
 	struct upstream *u = priv;
-	struct answer_info info;
+	struct response_info info;
 
-	exchange_read_answer(m, &info);
+	exchange_read_response(m, &info);
 	u->ops->response(u->owner, m, &info);
 }
 
@@ -80,7 +80,7 @@
 	struct upstream *u = priv;
 	struct feedback f = {.solicited = false};
 
-	exchange_read_answer(m, &f.info);
+	exchange_read_response(m, &f.info);
 	feedback_apply(u->traffic, u->backend, &f);
 }
 
@@ -188,7 +188,7 @@
 }
 
 static enum http_verdict ignore_response(void *owner,
-					 const struct answer_info *info)
+					 const struct response_info *info)
 {
 	return HTTP_SKIP;
 }
--- a/traffic/upstream.h
+++ b/traffic/upstream.h
@@ -12,10 +12,11 @@
 /* Callbacks of a connection's owner. */
 struct upstream_ops {
 	/* Decides whether a response is the awaited one. */
-	enum http_verdict (*judge)(void *owner, const struct answer_info *info);
+	enum http_verdict (*judge)(void *owner,
+				   const struct response_info *info);
 	/* The awaited response with its decoded fields; the callee frees m. */
 	void (*response)(void *owner, struct http_message *m,
-			 const struct answer_info *info);
+			 const struct response_info *info);
 	/* See struct http_client_ops. -ECANCELED: nothing was sent. */
 	void (*failed)(void *owner, int err, bool sent);
 };
