--- a/app/instance.c
+++ b/app/instance.c
@@ -8,8 +8,8 @@
 #include "platform/records.h"
 #include "traffic/traffic.h"
 
-static struct config *decode_operator(void *priv, struct lstr value,
-				      struct findings *f)
+static struct config *decode_operator_config(void *priv, struct lstr value,
+					     struct findings *f)
 {
 	return record_config(value, f);
 }
@@ -18,13 +18,13 @@
  * The configuration is the users' operator's, or the product's own: the
  * settings of a deployment with the patches that operators made by ctl.
  */
-static struct config_source source_of(const struct deploy *patched)
+static struct config_source config_source_for(const struct deploy *patched)
 {
 	if (!patched)
 		return (struct config_source){
 			.topic = STORE_TOPIC_CONFIG,
 			.key = STORE_KEY_CONFIG,
-			.decode = decode_operator,
+			.decode = decode_operator_config,
 		};
 	return (struct config_source){
 		.topic = CONF_TOPIC,
@@ -49,7 +49,7 @@
 {
 	static struct control control;
 	static struct traffic traffic;
-	struct config_source source = source_of(patched);
+	struct config_source source = config_source_for(patched);
 	pthread_t thread;
 	int rc;
 
--- a/app/main.c
+++ b/app/main.c
@@ -144,23 +144,23 @@
 }
 
 /* Reads the deployment's file anew for the instance that `priv` names. */
-static int reload_entry(void *priv, struct instance_settings *out)
+static int reload_deployment(void *priv, struct instance_settings *out)
 {
 	const struct cli *o = priv;
 	struct deploy d;
 	int rc = deploy_load(o->deployment, &d);
 
-	return rc ? rc : instance_settings_of_deploy(&d, o->name, out);
+	return rc ? rc : instance_settings_from_deploy(&d, o->name, out);
 }
 
 static int run_entry(const struct deploy *d, struct cli *o)
 {
-	struct settings_source source = {reload_entry, o};
+	struct settings_source source = {reload_deployment, o};
 	struct instance_settings s;
 	int rc;
 
 	o->name = o->name ? o->name : "e1";
-	rc = instance_settings_of_deploy(d, o->name, &s);
+	rc = instance_settings_from_deploy(d, o->name, &s);
 	mp_log_to_stdout();
 	if (rc)
 		return rc;
--- a/caller/own.c
+++ b/caller/native_api.c
@@ -1,7 +1,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "caller/own.h"
+#include "caller/native_api.h"
 #include "conf/build.h"
 #include "core/retry_after.h"
 #include "misc/clock.h"
@@ -11,13 +11,13 @@
 /* A caller with an unknown outcome asks again after this, with its key. */
 static const double UNKNOWN_RETRY_AFTER_S = 2;
 
-#define H_ID  LSTR("X-Request-Id")
-#define H_KEY LSTR("Idempotency-Key")
+#define H_REQUEST_ID	  LSTR("X-Request-Id")
+#define H_IDEMPOTENCY_KEY LSTR("Idempotency-Key")
 
 static const char *const outcome_names[] = {"done", "not-run", "unknown"};
 
 /* What a status of an answer means for the caller. */
-static enum call_outcome outcome_of(unsigned status)
+static enum call_outcome outcome_from_status(unsigned status)
 {
 	if (status / 100 == 2)
 		return CALL_DONE;
@@ -29,13 +29,13 @@
 static void write_outcome(struct buf *out, struct lstr id, enum call_outcome oc)
 {
 	buf_printf(out, "X-Outcome: %s\r\n%s: %.*s\r\n", outcome_names[oc],
-		   H_ID.ptr, (int)id.len, id.ptr);
+		   H_REQUEST_ID.ptr, (int)id.len, id.ptr);
 }
 
 static void write_own(struct buf *out, struct lstr id, unsigned status,
 		      double retry_after_s)
 {
-	enum call_outcome oc = outcome_of(status);
+	enum call_outcome oc = outcome_from_status(status);
 
 	write_outcome(out, id, oc);
 	if (oc == CALL_UNKNOWN)
@@ -47,33 +47,33 @@
 static void write_answer(struct buf *out, struct lstr id,
 			 const struct http_message *answer)
 {
-	write_outcome(out, id, outcome_of(answer->status));
+	write_outcome(out, id, outcome_from_status(answer->status));
 }
 
 /* The key of a protected call, as text to be freed; NULL: none. */
-static char *key_of(const struct http_message *m)
+static char *idempotency_key(const struct http_message *m)
 {
-	struct lstr key = http_find(m, H_KEY);
+	struct lstr key = http_find_header(m, H_IDEMPOTENCY_KEY);
 
 	return key.len ? g_strndup(key.ptr, key.len) : NULL;
 }
 
 static void settled(struct request *r, unsigned status, struct lstr body)
 {
-	char *key = key_of(r->message);
+	char *key = idempotency_key(r->message);
 	char *text;
 
 	if (!key)
 		return;
 	text = g_strndup(body.ptr, body.len);
-	dedup_end(&r->traffic->dedup, r->service->name, key, outcome_of(status),
-		  text);
+	dedup_end(&r->traffic->dedup, r->service->name, key,
+		  outcome_from_status(status), text);
 	g_free(text);
 	g_free(key);
 }
 
-static const struct caller_protocol own_protocol = {write_own, write_answer,
-						    settled};
+static const struct caller_protocol native_protocol = {write_own, write_answer,
+						       settled};
 
 static void reply(struct http_conn *c, unsigned status, struct lstr headers,
 		  struct lstr body)
@@ -97,7 +97,7 @@
 	buf_free(&body);
 }
 
-static void do_entries(struct traffic *t, struct http_conn *c)
+static void handle_entries(struct traffic *t, struct http_conn *c)
 {
 	struct buf body = {0};
 	bool first = true;
@@ -120,7 +120,7 @@
 	buf_free(&body);
 }
 
-static void do_metrics(struct traffic *t, struct http_conn *c)
+static void handle_metrics(struct traffic *t, struct http_conn *c)
 {
 	struct buf body = {0};
 
@@ -134,8 +134,8 @@
 			     const struct service_opts *s,
 			     struct call_info *call, unsigned *status)
 {
-	struct lstr tenant = http_find(m, LSTR("X-Tenant"));
-	struct lstr limit = http_find(m, LSTR("X-Deadline-Ms"));
+	struct lstr tenant = http_find_header(m, LSTR("X-Tenant"));
+	struct lstr limit = http_find_header(m, LSTR("X-Deadline-Ms"));
 	char text[16] = "";
 	long ms;
 
@@ -147,7 +147,7 @@
 		return "service of another tenant";
 	}
 	call->caller = tenant;
-	if (s->protected_action && !http_find(m, H_KEY).len)
+	if (s->protected_action && !http_find_header(m, H_IDEMPOTENCY_KEY).len)
 		return "protected action needs an Idempotency-Key";
 	if (!limit.ptr)
 		return NULL;
@@ -164,9 +164,9 @@
  * Answers a key that was seen before from the first call's outcome; it never
  * runs a second time. Returns whether it was seen.
  */
-static bool answer_duplicate(struct traffic *t, struct http_conn *c,
-			     const struct service_opts *s, struct lstr id,
-			     const char *key)
+static bool reply_duplicate(struct traffic *t, struct http_conn *c,
+			    const struct service_opts *s, struct lstr id,
+			    const char *key)
 {
 	struct dedup_seen seen = {0};
 	struct buf headers = {0};
@@ -184,9 +184,9 @@
 	return true;
 }
 
-static void do_call(struct traffic *t, struct http_conn *c,
-		    struct http_message *m, const struct service_opts *s,
-		    struct call_info *call)
+static void handle_call(struct traffic *t, struct http_conn *c,
+			struct http_message *m, const struct service_opts *s,
+			struct call_info *call)
 {
 	const struct route *route;
 	const char *why;
@@ -211,53 +211,55 @@
 		http_message_free(m);
 		return;
 	}
-	key = s->protected_action ? key_of(m) : NULL;
-	seen = key && answer_duplicate(t, c, s, call->id, key);
+	key = s->protected_action ? idempotency_key(m) : NULL;
+	seen = key && reply_duplicate(t, c, s, call->id, key);
 	g_free(key);
 	if (seen) {
 		http_message_free(m);
 		return;
 	}
-	request_start(t, c, m, call, route, &own_protocol);
+	request_start(t, c, m, call, route, &native_protocol);
 }
 
-static void route_call(struct traffic *t, struct http_conn *c,
-		       struct http_message *m)
+static void dispatch_call(struct traffic *t, struct http_conn *c,
+			  struct http_message *m)
 {
-	struct call_info call = {.id = http_find(m, H_ID),
-				 .host = LSTR(CONF_OWN_HOST)};
-	size_t skip = strlen(CONF_OWN_PREFIX);
+	struct call_info call = {.id = http_find_header(m, H_REQUEST_ID),
+				 .host = LSTR(CONF_NATIVE_HOST)};
+	size_t skip = strlen(CONF_NATIVE_PREFIX);
 	const struct service_opts *s;
 	char *name = g_strndup(m->target.ptr + skip, m->target.len - skip);
 
 	s = t->deploy ? deploy_service(t->deploy, name) : NULL;
 	/* Routes end with a slash, services in targets don't. */
-	call.path = lstr0(arena_printf(&m->arena, CONF_OWN_PREFIX "%s/", name));
+	call.path =
+		lstr0(arena_printf(&m->arena, CONF_NATIVE_PREFIX "%s/", name));
 	g_free(name);
 	if (s) {
-		do_call(t, c, m, s, &call);
+		handle_call(t, c, m, s, &call);
 		return;
 	}
 	refuse(c, 404, call.id, "no such service");
 	http_message_free(m);
 }
 
-/* own_request() takes a request on the product's own interface. */
-void own_request(void *traffic, struct http_conn *c, struct http_message *m)
+/* native_api_request() takes a request on the product's own interface. */
+void native_api_request(void *traffic, struct http_conn *c,
+			struct http_message *m)
 {
 	struct traffic *t = traffic;
-	size_t skip = strlen(CONF_OWN_PREFIX);
+	size_t skip = strlen(CONF_NATIVE_PREFIX);
 	bool call = m->target.len > skip &&
-		    !memcmp(m->target.ptr, CONF_OWN_PREFIX, skip);
+		    !memcmp(m->target.ptr, CONF_NATIVE_PREFIX, skip);
 
 	if (call && lstr_eq(m->method, LSTR("POST"))) {
-		route_call(t, c, m);
+		dispatch_call(t, c, m);
 		return;
 	}
 	if (lstr_eq(m->target, LSTR("/v1/entries")))
-		do_entries(t, c);
+		handle_entries(t, c);
 	else if (lstr_eq(m->target, LSTR("/admin/metrics")))
-		do_metrics(t, c);
+		handle_metrics(t, c);
 	else
 		refuse(c, 404, LSTR("-"), "no such path");
 	http_message_free(m);
--- a/caller/own.h
+++ b/caller/native_api.h
@@ -6,11 +6,12 @@
  *   GET  /admin/metrics     counters and histograms
  * Answers carry X-Outcome: done, not-run or unknown.
  */
-#ifndef MP_CALLER_OWN_H
-#define MP_CALLER_OWN_H
+#ifndef MP_CALLER_NATIVE_API_H
+#define MP_CALLER_NATIVE_API_H
 
 #include "traffic/traffic.h"
 
-void own_request(void *traffic, struct http_conn *c, struct http_message *m);
+void native_api_request(void *traffic, struct http_conn *c,
+			struct http_message *m);
 
 #endif
--- a/common/event.c
+++ b/common/event.c
@@ -53,8 +53,8 @@
 	ck_pr_inc_64(&lost);
 }
 
-/* mp_log_lost() counts the lines that were left out since the start. */
-guint64 mp_log_lost(void)
+/* mp_log_lines_lost() counts the lines that were left out since the start. */
+guint64 mp_log_lines_lost(void)
 {
 	return ck_pr_load_64(&lost);
 }
@@ -72,7 +72,7 @@
 }
 
 /* Begins a new second's allowances when it is time. */
-static void turn_second(const struct timespec *ts)
+static void start_second(const struct timespec *ts)
 {
 	if (ck_pr_load_64(&this_s) == (uint64_t)ts->tv_sec)
 		return;
@@ -84,27 +84,27 @@
 /* Tells whether one more line fits this second's allowance. */
 static bool within_rate(const struct timespec *ts)
 {
-	turn_second(ts);
+	start_second(ts);
 	return ck_pr_faa_64(&lines_this_s, 1) < LINES_PER_S;
 }
 
 /*
- * mp_log_routine() tells whether one more request may have its lines written
+ * mp_log_allow_routine() tells whether one more request may have its lines written
  * as they come. Otherwise the caller holds them back until the request ends:
  * one that fails is still told in full, one that went well is only counted,
- * with mp_log_withheld().
+ * with mp_log_add_suppressed().
  */
-bool mp_log_routine(void)
+bool mp_log_allow_routine(void)
 {
 	struct timespec ts;
 
 	clock_gettime(CLOCK_REALTIME, &ts);
-	turn_second(&ts);
+	start_second(&ts);
 	return ck_pr_faa_64(&routine_this_s, 1) < ROUTINE_REQUESTS_PER_S;
 }
 
-/* mp_log_withheld() counts lines of a request that went well as left out. */
-void mp_log_withheld(unsigned lines)
+/* mp_log_add_suppressed() counts lines of a request that went well as left out. */
+void mp_log_add_suppressed(unsigned lines)
 {
 	ck_pr_add_64(&dropped, lines);
 	ck_pr_add_64(&lost, lines);
@@ -114,7 +114,7 @@
  * Writes a line if that can't block: a pipe that polls as writable takes a
  * line whole. Lines that were left out are counted and told later.
  */
-static void write_bounded(const char *line, size_t n)
+static void write_nonblocking(const char *line, size_t n)
 {
 	struct pollfd p = {.fd = STDOUT_FILENO, .events = POLLOUT};
 
@@ -143,7 +143,7 @@
 		n = sizeof(line);
 		line[n - 1] = '\n';
 	}
-	write_bounded(line, (size_t)n);
+	write_nonblocking(line, (size_t)n);
 }
 
 /*
@@ -198,8 +198,8 @@
 	to_stdout = true;
 }
 
-/* mp_log_quiet() leaves out all but critical lines; tests use it. */
-void mp_log_quiet(void)
+/* mp_log_critical_only() leaves out all but critical lines; tests use it. */
+void mp_log_critical_only(void)
 {
 	quiet = true;
 }
--- a/conf/build.c
+++ b/conf/build.c
@@ -7,8 +7,8 @@
 
 enum {
 	/* Targets are met by all but few; a call takes a third as a rule. */
-	TARGET_PER_WORK = 20,
-	TARGET_LEAST_MS = 100,
+	TARGET_WORK_FACTOR = 20,
+	TARGET_MIN_MS = 100,
 	ATTEMPTS = 3, /* servers a call may be sent to */
 };
 
@@ -16,9 +16,9 @@
 static const struct lstr health_path = {"/health", 7};
 
 /* Reads a positive number a value may hold for a service. */
-static uint32_t service_number(const struct conf_values *v, const char *what,
-			       const char *service, uint32_t standard,
-			       struct findings *f)
+static uint32_t read_service_uint(const struct conf_values *v, const char *what,
+				  const char *service, uint32_t standard,
+				  struct findings *f)
 {
 	char *key = g_strdup_printf("%s.%s", what, service);
 	const char *s = conf_get(v, key);
@@ -61,23 +61,24 @@
 	const struct service_opts *o = d->services->pdata[i];
 	struct service_config *s = &c->services[i];
 	struct route *r = &c->routes[i];
-	uint32_t target = (uint32_t)o->work_ms * TARGET_PER_WORK;
+	uint32_t target = (uint32_t)o->work_ms * TARGET_WORK_FACTOR;
 
 	s->name = arena_lstr(&c->arena, lstr0(o->name));
 	s->health_path = health_path;
 	s->max_connections = (unsigned)o->connections;
 	s->policy = service_policy(d, v, o->name, f);
 	r->name = s->name;
-	r->host = LSTR(CONF_OWN_HOST);
-	r->path_prefix =
-		lstr0(arena_printf(&c->arena, CONF_OWN_PREFIX "%s/", o->name));
+	r->host = LSTR(CONF_NATIVE_HOST);
+	r->path_prefix = lstr0(
+		arena_printf(&c->arena, CONF_NATIVE_PREFIX "%s/", o->name));
 	r->idempotent = !o->protected_action;
-	r->max_attempts = service_number(v, "attempts", o->name, ATTEMPTS, f);
-	r->timeout_ms = service_number(v, "timeout_ms", o->name,
-				       (uint32_t)d->entry.deadline_ms, f);
-	r->target_ms = service_number(
+	r->max_attempts =
+		read_service_uint(v, "attempts", o->name, ATTEMPTS, f);
+	r->timeout_ms = read_service_uint(v, "timeout_ms", o->name,
+					  (uint32_t)d->entry.deadline_ms, f);
+	r->target_ms = read_service_uint(
 		v, "target_ms", o->name,
-		target > TARGET_LEAST_MS ? target : TARGET_LEAST_MS, f);
+		target > TARGET_MIN_MS ? target : TARGET_MIN_MS, f);
 	r->nparts = 1;
 	r->parts = arena_alloc(&c->arena, sizeof(*r->parts));
 	r->parts[0] = (struct route_part){s->name, 1};
--- a/conf/build.h
+++ b/conf/build.h
@@ -14,8 +14,8 @@
 #include "options/deploy.h"
 
 /* The host of the routes that the product's own interface uses. */
-#define CONF_OWN_HOST	"calls"
-#define CONF_OWN_PREFIX "/v1/call/"
+#define CONF_NATIVE_HOST   "calls"
+#define CONF_NATIVE_PREFIX "/v1/call/"
 
 struct config *conf_build(const struct deploy *d, const struct conf_values *v,
 			  struct findings *f);
--- a/conf/values.c
+++ b/conf/values.c
@@ -26,7 +26,7 @@
 }
 
 /* Every item must be KEY=VALUE with a key. */
-static bool all_pairs(char **set_kv)
+static bool are_pairs_valid(char **set_kv)
 {
 	for (char **kv = set_kv; kv && *kv; kv++) {
 		const char *eq = strchr(*kv, '=');
@@ -47,7 +47,7 @@
 {
 	if (base != v->version)
 		return -ESTALE;
-	if (!all_pairs(set_kv))
+	if (!are_pairs_valid(set_kv))
 		return -EINVAL;
 	for (char **kv = set_kv; kv && *kv; kv++) {
 		const char *eq = strchr(*kv, '=');
@@ -82,11 +82,11 @@
 	}
 }
 
-static bool read_pairs(const msgpack_object *map, GHashTable *values)
+static bool unpack_pairs(const msgpack_object *map, GHashTable *values)
 {
 	for (uint32_t i = 0; i < map->via.map.size; i++) {
-		struct lstr k = codec_text(&map->via.map.ptr[i].key);
-		struct lstr x = codec_text(&map->via.map.ptr[i].val);
+		struct lstr k = codec_str(&map->via.map.ptr[i].key);
+		struct lstr x = codec_str(&map->via.map.ptr[i].val);
 
 		if (!k.ptr || !x.ptr)
 			return false;
@@ -105,13 +105,13 @@
 	    f[0].type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    f[2].type != MSGPACK_OBJECT_MAP)
 		return false;
-	id = codec_text(&f[1]);
+	id = codec_str(&f[1]);
 	if (!id.ptr || id.len >= sizeof(v->patch_id))
 		return false;
 	v->version = f[0].via.u64;
 	memcpy(v->patch_id, id.ptr, id.len);
 	v->patch_id[id.len] = '\0';
-	return read_pairs(&f[2], v->values);
+	return unpack_pairs(&f[2], v->values);
 }
 
 /*
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -140,7 +140,7 @@
 	told.doubted = true;
 	remember(l, &told, now_ms);
 	backend_list_doubt(l, d, now_ms);
-	mp_event(EV_MEMBER_DOUBTED, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_MEMBER_UNCONFIRMED, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s offset=%" G_GUINT64_FORMAT
 		 " era=%" G_GUINT64_FORMAT,
 		 d->entry.id, d->entry.service, d->pos.offset, d->pos.era);
--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -55,7 +55,7 @@
 	w->listing = false;
 	/* The store answers, but not from there: it is listed anew at once. */
 	if (err == -ERANGE) {
-		mp_event(EV_STORE_LIST_ANEW, G_LOG_LEVEL_MESSAGE,
+		mp_event(EV_STORE_RELIST, G_LOG_LEVEL_MESSAGE,
 			 "what=backends offset=%" G_GUINT64_FORMAT
 			 " era=%" G_GUINT64_FORMAT
 			 " known_era=%" G_GUINT64_FORMAT,
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -178,7 +178,7 @@
 /* The store has nothing at the bookmark any more. */
 static void list_anew(struct config_watch *w)
 {
-	mp_event(EV_STORE_LIST_ANEW, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_STORE_RELIST, G_LOG_LEVEL_MESSAGE,
 		 "what=config offset=%" G_GUINT64_FORMAT
 		 " era=%" G_GUINT64_FORMAT " known_era=%" G_GUINT64_FORMAT,
 		 w->pos.offset, w->pos.era, w->store.store->era);
--- a/control/control.c
+++ b/control/control.c
@@ -49,7 +49,7 @@
 static void log_change(const struct backend_change *ch)
 {
 	if (ch->removed)
-		mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE,
+		mp_event(EV_MEMBER_REMOVED, G_LOG_LEVEL_MESSAGE,
 			 "backend=%s offset=%" G_GUINT64_FORMAT
 			 " era=%" G_GUINT64_FORMAT,
 			 ch->entry.id, ch->pos.offset, ch->pos.era);
@@ -354,9 +354,9 @@
 {
 	struct buf all = {0}, rest = {0};
 
-	instance_settings_differences(&c->settings, fresh, &all);
-	instance_settings_take_over(&c->settings, fresh);
-	instance_settings_differences(&c->settings, fresh, &rest);
+	instance_settings_diff(&c->settings, fresh, &all);
+	instance_settings_apply_reload(&c->settings, fresh);
+	instance_settings_diff(&c->settings, fresh, &rest);
 	mp_event(EV_RELOADED, G_LOG_LEVEL_MESSAGE,
 		 "settings=%s changed=[%.*s ] at_next_start=[%.*s ]",
 		 all.len ? "changed" : "as before", (int)all.len,
@@ -383,7 +383,7 @@
 		take_settings(c, &fresh);
 }
 
-static void from_traffic(void *priv, struct mail *m)
+static void from_traffic(void *priv, struct mailbox_msg *m)
 {
 	struct control *c = priv;
 
--- a/control/introduce.c
+++ b/control/introduce.c
@@ -128,9 +128,9 @@
 		config_watch_read(in->config);
 }
 
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_match judge(void *priv, const struct http_message *m)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 /* A peer that is busy says 503 and isn't at fault. */
@@ -168,7 +168,7 @@
 }
 
 static const struct http_client_ops client_ops = {
-	.judge = judge, .response = on_response, .failed = on_failed};
+	.match = judge, .response = on_response, .failed = on_failed};
 
 static int ask(struct introduce *in, const struct peer_info *peer,
 	       struct lstr path)
--- a/core/outlier.c
+++ b/core/outlier.c
@@ -51,7 +51,7 @@
 	if (outlier_shuns(b, now_ms) == b->shunned)
 		return;
 	b->shunned = !b->shunned;
-	mp_event(b->shunned ? EV_BACKEND_SHUNNED : EV_BACKEND_TRUSTED,
+	mp_event(b->shunned ? EV_BACKEND_DEPRIORITIZED : EV_BACKEND_RECOVERED,
 		 G_LOG_LEVEL_MESSAGE, "backend=%s service=%s trouble=%.1f",
 		 b->entry.id, b->service->name, b->trouble);
 }
--- a/http/client.c
+++ b/http/client.c
@@ -7,7 +7,7 @@
 #include "http/client.h"
 #include "http/socket.h"
 
-enum { READ_CHUNK = 8192 }; /* bytes; most answers fit one read */
+enum { READ_CHUNK_BYTES = 8192 }; /* bytes; most answers fit one read */
 
 static void set_timer(struct http_client *c, double after_s)
 {
@@ -50,7 +50,7 @@
 }
 
 /* Reads whole responses that nobody waits for out of n bytes at p. */
-static void take_unsolicited(struct http_client *c, const char *p, size_t n)
+static void read_unsolicited(struct http_client *c, const char *p, size_t n)
 {
 	while (n) {
 		ssize_t used = http_reader_feed(&c->reader, p, n);
@@ -75,7 +75,8 @@
 {
 	struct http_message *m = http_reader_take(&c->reader);
 
-	if (m->status / 100 == 1 || c->ops->judge(c->priv, m) == HTTP_SKIP) {
+	if (m->status / 100 == 1 ||
+	    c->ops->match(c->priv, m) == HTTP_UNMATCHED) {
 		if (m->status / 100 != 1)
 			c->reusable = false;
 		if (!m->keep_alive)
@@ -93,13 +94,13 @@
 	c->state = CLIENT_IDLE;
 	buf_free(&c->out);
 	watch(c, EV_READ);
-	take_unsolicited(c, p, n);
+	read_unsolicited(c, p, n);
 	c->ops->response(c->priv, m);
 	return true;
 }
 
 /* Reads responses out of n bytes at p. */
-static void take_bytes(struct http_client *c, const char *p, size_t n)
+static void read_responses(struct http_client *c, const char *p, size_t n)
 {
 	while (n) {
 		ssize_t used = http_reader_feed(&c->reader, p, n);
@@ -122,7 +123,7 @@
 
 static void on_readable(struct http_client *c)
 {
-	char chunk[READ_CHUNK];
+	char chunk[READ_CHUNK_BYTES];
 	ssize_t n = recv(c->fd, chunk, sizeof(chunk), 0);
 
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
@@ -132,12 +133,12 @@
 		return;
 	}
 	if (c->state == CLIENT_IDLE) {
-		take_unsolicited(c, chunk, (size_t)n);
+		read_unsolicited(c, chunk, (size_t)n);
 		fail(c, n ? -EPROTO : -EPIPE);
 		return;
 	}
 	if (n > 0) {
-		take_bytes(c, chunk, (size_t)n);
+		read_responses(c, chunk, (size_t)n);
 		return;
 	}
 	c->reusable = false;
--- a/http/client.h
+++ b/http/client.h
@@ -13,14 +13,14 @@
 
 struct http_client;
 
-enum http_verdict {
-	HTTP_TAKE, /* the response is the awaited one */
-	HTTP_SKIP, /* it answers something else; wait on */
+enum http_match {
+	HTTP_MATCHED,	/* the response is the awaited one */
+	HTTP_UNMATCHED, /* it answers something else; wait on */
 };
 
 struct http_client_ops {
 	/* Whose response is it? Called before `response`. */
-	enum http_verdict (*judge)(void *priv, const struct http_message *m);
+	enum http_match (*match)(void *priv, const struct http_message *m);
 	/* The awaited response; m belongs to the callee. */
 	void (*response)(void *priv, struct http_message *m);
 	/*
--- a/http/conn.c
+++ b/http/conn.c
@@ -9,8 +9,9 @@
 #include "http/socket.h"
 
 enum {
-	READ_CHUNK = 4096,     /* bytes a read asks for */
-	AHEAD_MAX = 64 * 1024, /* bytes read ahead of a pending reply */
+	READ_CHUNK_BYTES = 4096, /* bytes a read asks for */
+	PIPELINE_MAX_BYTES =
+		64 * 1024, /* bytes read ahead of a pending reply */
 };
 
 /* A closed connection may still carry bytes to us for this long. */
@@ -89,10 +90,10 @@
 }
 
 /* The caller is gone: tells the handler if it has the request. */
-static void conn_lost(struct http_conn *c)
+static void conn_closed_by_peer(struct http_conn *c)
 {
-	if (c->state == CONN_HANDLING && c->server->ops->gone)
-		c->server->ops->gone(c->server->priv, c);
+	if (c->state == CONN_HANDLING && c->server->ops->closed)
+		c->server->ops->closed(c->server->priv, c);
 	http_conn_free(c);
 }
 
@@ -177,7 +178,8 @@
  */
 void http_conn_reply(struct http_conn *c, const struct http_reply *r)
 {
-	c->close_after = r->close || !c->keep_alive || c->server->last_answers;
+	c->close_after =
+		r->close || !c->keep_alive || c->server->disable_keep_alive;
 	buf_printf(&c->out, "HTTP/1.1 %u %s\r\n", r->status,
 		   http_reason(r->status));
 	buf_add_lstr(&c->out, r->headers);
@@ -203,7 +205,7 @@
 }
 
 /* Refuses bytes that are no acceptable request and closes. */
-static void conn_refuse(struct http_conn *c, unsigned status)
+static void conn_reject(struct http_conn *c, unsigned status)
 {
 	c->keep_alive = false;
 	c->head_request = false;
@@ -211,7 +213,7 @@
 			&(struct http_reply){.status = status, .close = true});
 }
 
-static unsigned status_of_error(ssize_t err)
+static unsigned status_from_error(ssize_t err)
 {
 	if (err == -EFBIG)
 		return 413;
@@ -236,9 +238,9 @@
 }
 
 /* Callers that wait for leave to send their body get it. */
-static void grant_continue(struct http_conn *c)
+static void send_continue(struct http_conn *c)
 {
-	struct lstr e = http_find(c->reader.msg, LSTR("expect"));
+	struct lstr e = http_find_header(c->reader.msg, LSTR("expect"));
 
 	if (e.ptr && lstr_eq_nocase(e, LSTR("100-continue")) &&
 	    !c->reader.msg->done)
@@ -252,7 +254,7 @@
 	ssize_t used = http_reader_feed(&c->reader, c->in.ptr, n);
 
 	if (used < 0) {
-		conn_refuse(c, status_of_error(used));
+		conn_reject(c, status_from_error(used));
 		return false;
 	}
 	buf_consume(&c->in, (size_t)used);
@@ -266,7 +268,7 @@
 	ptrdiff_t end = head_find_end(c->in.ptr, c->in.len, c->scanned);
 
 	if (end == 0 && max && c->in.len > max) {
-		conn_refuse(c, 431);
+		conn_reject(c, 431);
 		return false;
 	}
 	if (end == 0) {
@@ -274,17 +276,17 @@
 		return false;
 	}
 	if (end > 0 && max && (size_t)end > max) {
-		conn_refuse(c, 431);
+		conn_reject(c, 431);
 		return false;
 	}
 	if (end < 0 || head_check(c->in.ptr, (size_t)end)) {
-		conn_refuse(c, 400);
+		conn_reject(c, 400);
 		return false;
 	}
 	if (!feed(c, (size_t)end))
 		return false;
 	c->in_body = true;
-	grant_continue(c);
+	send_continue(c);
 	return true;
 }
 
@@ -313,16 +315,17 @@
 
 static void conn_read(struct http_conn *c)
 {
-	if (c->state == CONN_HANDLING && c->in.len >= AHEAD_MAX) {
+	if (c->state == CONN_HANDLING && c->in.len >= PIPELINE_MAX_BYTES) {
 		watch(c, 0);
 		return;
 	}
-	ssize_t n = recv(c->fd, buf_room(&c->in, READ_CHUNK), READ_CHUNK, 0);
+	ssize_t n = recv(c->fd, buf_reserve(&c->in, READ_CHUNK_BYTES),
+			 READ_CHUNK_BYTES, 0);
 
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
-		conn_lost(c);
+		conn_closed_by_peer(c);
 		return;
 	}
 	if (c->state == CONN_LINGER)
@@ -347,9 +350,9 @@
 	struct http_conn *c = t->data;
 
 	if (c->state == CONN_READING)
-		conn_refuse(c, 408);
+		conn_reject(c, 408);
 	else
-		conn_lost(c);
+		conn_closed_by_peer(c);
 }
 
 /* http_conn_new() takes an accepted socket into the server. */
@@ -359,7 +362,7 @@
 
 	if (!c)
 		abort();
-	socket_tune(fd);
+	socket_set_nodelay(fd);
 	c->server = s;
 	c->fd = fd;
 	c->opened = ev_now(s->loop);
--- a/http/head.c
+++ b/http/head.c
@@ -37,13 +37,13 @@
 }
 
 /* Headers that change where a message ends or whom it is for. */
-static const struct lstr single_headers[] = {
+static const struct lstr unique_headers[] = {
 	{"content-length", 14},
 	{"transfer-encoding", 17},
 	{"host", 4},
 };
 
-enum { SINGLE_HEADERS = sizeof(single_headers) / sizeof(single_headers[0]) };
+enum { UNIQUE_HEADERS = sizeof(unique_headers) / sizeof(unique_headers[0]) };
 
 /* Checks one header line without its line end; counts the single ones. */
 static int check_line(const char *p, size_t n, unsigned *seen)
@@ -60,8 +60,8 @@
 		if ((c < 0x20 && c != '\t') || c == 0x7f)
 			return -EPROTO;
 	}
-	for (unsigned i = 0; i < SINGLE_HEADERS; i++) {
-		const struct lstr *h = &single_headers[i];
+	for (unsigned i = 0; i < UNIQUE_HEADERS; i++) {
+		const struct lstr *h = &unique_headers[i];
 
 		if (name == h->len && !strncasecmp(p, h->ptr, name) &&
 		    seen[i]++)
@@ -80,7 +80,7 @@
 int head_check(const char *p, size_t n)
 {
 	const char *end = p + n, *eol = memchr(p, '\r', n);
-	unsigned seen[SINGLE_HEADERS] = {0};
+	unsigned seen[UNIQUE_HEADERS] = {0};
 
 	for (const char *s = p; s < eol; s++) {
 		if ((unsigned char)*s < 0x20 || *s == 0x7f)
--- a/http/message.c
+++ b/http/message.c
@@ -208,8 +208,8 @@
 	free(m);
 }
 
-/* http_find() returns the value of the first header so named, or {NULL, 0}. */
-struct lstr http_find(const struct http_message *m, struct lstr name)
+/* http_find_header() returns the value of the first header so named, or {NULL, 0}. */
+struct lstr http_find_header(const struct http_message *m, struct lstr name)
 {
 	for (size_t i = 0; i < m->nheaders; i++) {
 		if (lstr_eq_nocase(m->headers[i].name, name))
@@ -219,7 +219,7 @@
 }
 
 /* Tells whether name is one of the comma-separated tokens of list. */
-static bool lists_token(struct lstr list, struct lstr name)
+static bool list_has_token(struct lstr list, struct lstr name)
 {
 	const char *p = list.ptr, *end = p + list.len;
 
@@ -264,7 +264,7 @@
 	}
 	for (size_t i = 0; i < m->nheaders; i++) {
 		if (lstr_eq_nocase(m->headers[i].name, LSTR("connection")) &&
-		    lists_token(m->headers[i].value, name))
+		    list_has_token(m->headers[i].value, name))
 			return true;
 	}
 	return false;
--- a/http/message.h
+++ b/http/message.h
@@ -54,7 +54,7 @@
 void http_reader_free(struct http_reader *r);
 
 void http_message_free(struct http_message *m);
-struct lstr http_find(const struct http_message *m, struct lstr name);
+struct lstr http_find_header(const struct http_message *m, struct lstr name);
 bool lstr_eq_nocase(struct lstr a, struct lstr b);
 bool http_is_hop_by_hop(const struct http_message *m, struct lstr name);
 
--- a/http/server.c
+++ b/http/server.c
@@ -6,14 +6,14 @@
 #include "http/socket.h"
 
 /* So that open requests get their turn between new connections. */
-enum { ACCEPTS_AT_ONCE = 16 };
+enum { ACCEPT_BATCH_MAX = 16 };
 
 /*
  * A caller that has just connected is about to send; a stop waits this long
  * for its first request. It travels 8 ms, and a lost packet is sent again
  * after 200 ms.
  */
-static const double FIRST_REQUEST_S = 0.2;
+static const double FIRST_REQUEST_GRACE_S = 0.2;
 
 /* Takes one connection off the queue; false when there is none. */
 static bool accept_one(struct http_server *s)
@@ -29,7 +29,7 @@
 
 static void on_accept(struct ev_loop *loop, ev_io *io, int revents)
 {
-	for (int i = 0; i < ACCEPTS_AT_ONCE; i++) {
+	for (int i = 0; i < ACCEPT_BATCH_MAX; i++) {
 		if (!accept_one(io->data))
 			return;
 	}
@@ -72,10 +72,10 @@
 }
 
 /* Tells whether a connection's first request may be on its way. */
-static bool is_just_open(const struct http_conn *c)
+static bool is_awaiting_first_request(const struct http_conn *c)
 {
 	return !c->had_request &&
-	       ev_now(c->server->loop) - c->opened < FIRST_REQUEST_S;
+	       ev_now(c->server->loop) - c->opened < FIRST_REQUEST_GRACE_S;
 }
 
 /*
@@ -86,7 +86,7 @@
 {
 	for (struct http_conn *c = s->conns, *next; c; c = next) {
 		next = c->next;
-		if (c->state == CONN_IDLE && !is_just_open(c))
+		if (c->state == CONN_IDLE && !is_awaiting_first_request(c))
 			http_conn_free(c);
 	}
 }
@@ -97,7 +97,7 @@
 	for (const struct http_conn *c = s->conns; c; c = c->next) {
 		if (c->state != CONN_IDLE && c->state != CONN_LINGER)
 			return true;
-		if (c->state == CONN_IDLE && is_just_open(c))
+		if (c->state == CONN_IDLE && is_awaiting_first_request(c))
 			return true;
 	}
 	return false;
--- a/http/server.h
+++ b/http/server.h
@@ -18,7 +18,7 @@
 	void (*request)(void *priv, struct http_conn *c,
 			struct http_message *m);
 	/* The caller left before the reply; do not use c afterwards. */
-	void (*gone)(void *priv, struct http_conn *c);
+	void (*closed)(void *priv, struct http_conn *c);
 };
 
 struct http_server {
@@ -26,9 +26,9 @@
 	const struct http_server_ops *ops;
 	void *priv;
 	struct http_limits limits;
-	double head_timeout_s; /* first byte of a request to its last */
-	double idle_timeout_s; /* a kept connection without a request */
-	bool last_answers;     /* each answer closes its connection */
+	double head_timeout_s;	 /* first byte of a request to its last */
+	double idle_timeout_s;	 /* a kept connection without a request */
+	bool disable_keep_alive; /* each answer closes its connection */
 	ev_io accept;
 	struct http_conn *conns;
 	unsigned nconns;
--- a/http/socket.c
+++ b/http/socket.c
@@ -9,7 +9,7 @@
 #include "options/settings.h"
 
 /* Callers reconnect in crowds after a fault; none is to wait for a resend. */
-enum { LISTEN_QUEUE = 1024 };
+enum { LISTEN_BACKLOG = 1024 };
 
 /* socket_addr() parses "a.b.c.d:port". Returns 0 or -EINVAL. */
 int socket_addr(const char *addr, struct sockaddr_in *sa)
@@ -39,7 +39,7 @@
 		return -errno;
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (bind(fd, (struct sockaddr *)&sa, sizeof(sa)) ||
-	    listen(fd, LISTEN_QUEUE)) {
+	    listen(fd, LISTEN_BACKLOG)) {
 		rc = -errno;
 		close(fd);
 		return rc;
@@ -54,7 +54,7 @@
 
 	if (fd < 0)
 		return -errno;
-	socket_tune(fd);
+	socket_set_nodelay(fd);
 	if (connect(fd, (const struct sockaddr *)sa, sizeof(*sa)) &&
 	    errno != EINPROGRESS) {
 		int rc = -errno;
@@ -76,8 +76,8 @@
 	return -err;
 }
 
-/* socket_tune() sends small messages at once. */
-void socket_tune(int fd)
+/* socket_set_nodelay() sends small messages at once. */
+void socket_set_nodelay(int fd)
 {
 	int one = 1;
 
@@ -85,12 +85,12 @@
 }
 
 /*
- * socket_detect_silence() makes a connection fail after about after_s + 2
+ * socket_set_keepalive() makes a connection fail after about after_s + 2
  * seconds without any sign of the peer, by keep-alive probes while nothing
  * is sent and a time limit on sent bytes. A connection whose path lost track
  * of it stays open for ever otherwise.
  */
-void socket_detect_silence(int fd, int after_s)
+void socket_set_keepalive(int fd, int after_s)
 {
 	int one = 1, tries = 2, limit_ms = after_s * 1000;
 
--- a/http/socket.h
+++ b/http/socket.h
@@ -8,7 +8,7 @@
 int socket_listen(const char *addr);
 int socket_connect(const struct sockaddr_in *sa);
 int socket_error(int fd);
-void socket_tune(int fd);
-void socket_detect_silence(int fd, int after_s);
+void socket_set_nodelay(int fd);
+void socket_set_keepalive(int fd, int after_s);
 
 #endif
--- a/misc/buf.c
+++ b/misc/buf.c
@@ -6,16 +6,16 @@
 #include "misc/buf.h"
 
 /* The first allocation in bytes; most heads fit into it. */
-enum { BUF_FIRST = 512 };
+enum { BUF_INITIAL_BYTES = 512 };
 
 /*
- * buf_room() makes sure that n more bytes fit and returns where they go;
+ * buf_reserve() makes sure that n more bytes fit and returns where they go;
  * the caller adds to len what it wrote. Allocation failure aborts.
  */
-char *buf_room(struct buf *b, size_t n)
+char *buf_reserve(struct buf *b, size_t n)
 {
 	if (b->cap - b->len < n) {
-		size_t cap = b->cap ? b->cap : BUF_FIRST;
+		size_t cap = b->cap ? b->cap : BUF_INITIAL_BYTES;
 
 		while (cap - b->len < n)
 			cap *= 2;
@@ -32,7 +32,7 @@
 {
 	if (n == 0)
 		return;
-	memcpy(buf_room(b, n), p, n);
+	memcpy(buf_reserve(b, n), p, n);
 	b->len += n;
 }
 
@@ -51,7 +51,7 @@
 	int n = vsnprintf(NULL, 0, fmt, ap);
 
 	va_end(ap);
-	buf_room(b, (size_t)n + 1);
+	buf_reserve(b, (size_t)n + 1);
 	va_start(ap, fmt);
 	vsnprintf(b->ptr + b->len, (size_t)n + 1, fmt, ap);
 	va_end(ap);
--- a/misc/codec.c
+++ b/misc/codec.c
@@ -4,10 +4,10 @@
 #include "misc/codec.h"
 
 /* Up to here a floating-point number holds every whole number. */
-static const double WHOLE_MAX = 9007199254740992.0;
+static const double DOUBLE_EXACT_INT_MAX = 9007199254740992.0;
 
-/* codec_text() views a string or binary value; {NULL, 0} for others. */
-struct lstr codec_text(const msgpack_object *o)
+/* codec_str() views a string or binary value; {NULL, 0} for others. */
+struct lstr codec_str(const msgpack_object *o)
 {
 	if (o && o->type == MSGPACK_OBJECT_STR)
 		return (struct lstr){o->via.str.ptr, o->via.str.size};
@@ -24,16 +24,17 @@
 	for (uint32_t i = 0; i < map->via.map.size; i++) {
 		const msgpack_object_kv *kv = &map->via.map.ptr[i];
 
-		if (lstr_eq(codec_text(&kv->key), lstr0(name)))
+		if (lstr_eq(codec_str(&kv->key), lstr0(name)))
 			return &kv->val;
 	}
 	return NULL;
 }
 
-/* codec_lstr() reads a text member. Returns whether it was there. */
-bool codec_lstr(const msgpack_object *map, const char *name, struct lstr *out)
+/* codec_get_lstr() reads a text member. Returns whether it was there. */
+bool codec_get_lstr(const msgpack_object *map, const char *name,
+		    struct lstr *out)
 {
-	struct lstr s = codec_text(codec_get(map, name));
+	struct lstr s = codec_str(codec_get(map, name));
 
 	if (!s.ptr)
 		return false;
@@ -41,8 +42,8 @@
 	return true;
 }
 
-/* codec_uint() reads a whole number that isn't negative. */
-bool codec_uint(const msgpack_object *map, const char *name, uint64_t *out)
+/* codec_get_uint() reads a whole number that isn't negative. */
+bool codec_get_uint(const msgpack_object *map, const char *name, uint64_t *out)
 {
 	const msgpack_object *o = codec_get(map, name);
 
@@ -54,7 +55,7 @@
 	}
 	if ((o->type == MSGPACK_OBJECT_FLOAT64 ||
 	     o->type == MSGPACK_OBJECT_FLOAT32) &&
-	    o->via.f64 >= 0 && o->via.f64 <= WHOLE_MAX &&
+	    o->via.f64 >= 0 && o->via.f64 <= DOUBLE_EXACT_INT_MAX &&
 	    floor(o->via.f64) == o->via.f64) {
 		*out = (uint64_t)o->via.f64;
 		return true;
--- a/misc/codec.h
+++ b/misc/codec.h
@@ -15,9 +15,10 @@
 #include "misc/lstr.h"
 
 const msgpack_object *codec_get(const msgpack_object *map, const char *name);
-bool codec_lstr(const msgpack_object *map, const char *name, struct lstr *out);
-bool codec_uint(const msgpack_object *map, const char *name, uint64_t *out);
-struct lstr codec_text(const msgpack_object *o);
+bool codec_get_lstr(const msgpack_object *map, const char *name,
+		    struct lstr *out);
+bool codec_get_uint(const msgpack_object *map, const char *name, uint64_t *out);
+struct lstr codec_str(const msgpack_object *o);
 
 int codec_buf_write(void *buf, const char *p, size_t n);
 void codec_pack_lstr(msgpack_packer *pk, struct lstr s);
--- a/misc/findings.c
+++ b/misc/findings.c
@@ -54,7 +54,7 @@
 			 "%s:%d: %s: %s", fd->file, fd->line,
 			 fd->key ? fd->key : "-", fd->message);
 	}
-	mp_event(EV_SETTINGS_BAD, G_LOG_LEVEL_CRITICAL,
+	mp_event(EV_SETTINGS_INVALID, G_LOG_LEVEL_CRITICAL,
 		 "%u problem(s) in the settings", f->list->len);
 	return -EINVAL;
 }
--- a/misc/hist.c
+++ b/misc/hist.c
@@ -3,11 +3,11 @@
 #include "misc/hist.h"
 
 /*
- * hist_bucket_of() maps a value to its bucket: values below HIST_SUB each
+ * hist_bucket_index() maps a value to its bucket: values below HIST_SUB each
  * have their own bucket, larger ones are placed by their top bit and the
  * HIST_SUB_BITS bits below it. Values past the range land in the last one.
  */
-unsigned hist_bucket_of(uint64_t us)
+unsigned hist_bucket_index(uint64_t us)
 {
 	if (us < HIST_SUB)
 		return (unsigned)us;
@@ -19,8 +19,8 @@
 	return b < HIST_BUCKETS ? b : HIST_BUCKETS - 1;
 }
 
-/* hist_bucket_high() gives the largest value (us) that falls in bucket b. */
-uint64_t hist_bucket_high(unsigned b)
+/* hist_bucket_max_us() gives the largest value (us) that falls in bucket b. */
+uint64_t hist_bucket_max_us(unsigned b)
 {
 	if (b < HIST_SUB)
 		return b;
@@ -33,7 +33,7 @@
 /* hist_record() adds one observation of us microseconds. */
 void hist_record(struct hist *h, uint64_t us)
 {
-	ck_pr_inc_64(&h->counts[hist_bucket_of(us)]);
+	ck_pr_inc_64(&h->counts[hist_bucket_index(us)]);
 	ck_pr_inc_64(&h->total);
 	ck_pr_add_64(&h->sum_us, us);
 }
@@ -57,9 +57,9 @@
 	for (unsigned b = 0; b < HIST_BUCKETS; b++) {
 		seen += ck_pr_load_64(&h->counts[b]);
 		if (seen > rank)
-			return hist_bucket_high(b);
+			return hist_bucket_max_us(b);
 	}
-	return hist_bucket_high(HIST_BUCKETS - 1);
+	return hist_bucket_max_us(HIST_BUCKETS - 1);
 }
 
 /* hist_merge() adds every count of src into dst. */
--- a/misc/hist.h
+++ b/misc/hist.h
@@ -25,7 +25,7 @@
 void hist_record(struct hist *h, uint64_t us);
 uint64_t hist_quantile(const struct hist *h, double q);
 void hist_merge(struct hist *dst, const struct hist *src);
-unsigned hist_bucket_of(uint64_t us);
-uint64_t hist_bucket_high(unsigned b);
+unsigned hist_bucket_index(uint64_t us);
+uint64_t hist_bucket_max_us(unsigned b);
 
 #endif
--- a/misc/mailbox.c
+++ b/misc/mailbox.c
@@ -6,7 +6,7 @@
 static void on_wake(struct ev_loop *loop, ev_async *w, int revents)
 {
 	struct mailbox *mb = w->data;
-	struct mail *m;
+	struct mailbox_msg *m;
 
 	while (ck_ring_dequeue_spsc(&mb->ring, mb->buffer, &m)) {
 		mb->receive(mb->priv, m);
@@ -16,7 +16,8 @@
 
 /* mailbox_init() must be called before either thread uses the mailbox. */
 void mailbox_init(struct mailbox *mb, struct ev_loop *loop,
-		  void (*receive)(void *priv, struct mail *m), void *priv)
+		  void (*receive)(void *priv, struct mailbox_msg *m),
+		  void *priv)
 {
 	ck_ring_init(&mb->ring, MAILBOX_SLOTS);
 	mb->loop = loop;
@@ -33,11 +34,11 @@
  */
 int mailbox_send(struct mailbox *mb, int kind, void *data)
 {
-	struct mail *m = malloc(sizeof(*m));
+	struct mailbox_msg *m = malloc(sizeof(*m));
 
 	if (!m)
 		abort();
-	*m = (struct mail){kind, data};
+	*m = (struct mailbox_msg){kind, data};
 	if (!ck_ring_enqueue_spsc(&mb->ring, mb->buffer, m)) {
 		free(m);
 		return -ENOBUFS;
--- a/misc/mailbox.h
+++ b/misc/mailbox.h
@@ -12,7 +12,7 @@
 
 enum { MAILBOX_SLOTS = 1024 }; /* a power of two */
 
-struct mail {
+struct mailbox_msg {
 	int kind;
 	void *data; /* belongs to the receiver */
 };
@@ -22,12 +22,13 @@
 	ck_ring_buffer_t buffer[MAILBOX_SLOTS];
 	ev_async wake;
 	struct ev_loop *loop; /* the receiver's */
-	void (*receive)(void *priv, struct mail *m);
+	void (*receive)(void *priv, struct mailbox_msg *m);
 	void *priv;
 };
 
 void mailbox_init(struct mailbox *mb, struct ev_loop *loop,
-		  void (*receive)(void *priv, struct mail *m), void *priv);
+		  void (*receive)(void *priv, struct mailbox_msg *m),
+		  void *priv);
 int mailbox_send(struct mailbox *mb, int kind, void *data);
 
 #endif
--- a/options/deploy.c
+++ b/options/deploy.c
@@ -80,8 +80,8 @@
 			g_ptr_array_add(d->entries, en);
 		} else if (!g_strv_contains(known_groups, *g)) {
 			findings_add(f, s->path,
-				     settings_line_of(s->text, *g, NULL), NULL,
-				     "unknown section [%s]", *g);
+				     settings_find_line(s->text, *g, NULL),
+				     NULL, "unknown section [%s]", *g);
 		}
 	}
 	g_strfreev(groups);
@@ -97,7 +97,7 @@
 		findings_add(f, s->path, 0, NULL, "no [entry.*] section");
 	if (!place_policy_find(d->entry.policy))
 		findings_add(f, s->path,
-			     settings_line_of(s->text, "entry", "policy"),
+			     settings_find_line(s->text, "entry", "policy"),
 			     "policy",
 			     "'%s' is not load, p2c, least, rr or random",
 			     d->entry.policy);
@@ -167,11 +167,11 @@
 }
 
 /*
- * deploy_worker_told() writes the address by which others are to reach worker
+ * deploy_worker_advertised_addr() writes the address by which others are to reach worker
  * index: a proxy's, if the service has one. Returns 0 or -ERANGE.
  */
-int deploy_worker_told(const struct service_opts *svc, int index, char *buf,
-		       size_t len)
+int deploy_worker_advertised_addr(const struct service_opts *svc, int index,
+				  char *buf, size_t len)
 {
 	if (index < 0 || index >= svc->workers)
 		return -ERANGE;
--- a/options/deploy.h
+++ b/options/deploy.h
@@ -63,8 +63,8 @@
 const struct service_opts *deploy_service(const struct deploy *d,
 					  const char *name);
 const struct entry_opts *deploy_entry(const struct deploy *d, const char *name);
-int deploy_worker_told(const struct service_opts *svc, int index, char *buf,
-		       size_t len);
+int deploy_worker_advertised_addr(const struct service_opts *svc, int index,
+				  char *buf, size_t len);
 int deploy_worker_addr(const struct service_opts *svc, int index, char *buf,
 		       size_t len);
 
--- a/options/instance.c
+++ b/options/instance.c
@@ -95,7 +95,7 @@
 		if (strcmp(out->log_level, "info") &&
 		    strcmp(out->log_level, "notice"))
 			findings_add(&f, path,
-				     settings_line_of(s.text, "log", "level"),
+				     settings_find_line(s.text, "log", "level"),
 				     "level", "'%s' is not info or notice",
 				     out->log_level);
 		settings_close(&s);
@@ -105,14 +105,14 @@
 	return rc;
 }
 
-static void text_difference(const char *name, const char *a, const char *b,
-			    struct buf *out)
+static void diff_text(const char *name, const char *a, const char *b,
+		      struct buf *out)
 {
 	if (g_strcmp0(a, b))
 		buf_printf(out, " %s=%s->%s", name, a ? a : "-", b ? b : "-");
 }
 
-static void bool_difference(const char *name, bool a, bool b, struct buf *out)
+static void diff_bool(const char *name, bool a, bool b, struct buf *out)
 {
 	if (a != b)
 		buf_printf(out, " %s=%s->%s", name, a ? "true" : "false",
@@ -120,47 +120,45 @@
 }
 
 /* Names the options of a table whose values differ. */
-static void group_differences(const struct opt_def *opts,
-			      const struct instance_settings *a,
-			      const struct instance_settings *b,
-			      struct buf *out)
+static void diff_group(const struct opt_def *opts,
+		       const struct instance_settings *a,
+		       const struct instance_settings *b, struct buf *out)
 {
 	for (const struct opt_def *o = opts; o->key; o++) {
 		const void *x = (const char *)a + o->offset;
 		const void *y = (const char *)b + o->offset;
 
 		if (o->type == OPT_BOOL)
-			bool_difference(o->key, *(const bool *)x,
-					*(const bool *)y, out);
+			diff_bool(o->key, *(const bool *)x, *(const bool *)y,
+				  out);
 		else if (o->type != OPT_REAL)
-			text_difference(o->key, *(char *const *)x,
-					*(char *const *)y, out);
+			diff_text(o->key, *(char *const *)x, *(char *const *)y,
+				  out);
 		else if (*(const double *)x != *(const double *)y)
 			buf_printf(out, " %s=%g->%g", o->key,
 				   *(const double *)x, *(const double *)y);
 	}
 }
 
-/* instance_settings_differences() appends " key=old->new" for each. */
-void instance_settings_differences(const struct instance_settings *a,
-				   const struct instance_settings *b,
-				   struct buf *out)
+/* instance_settings_diff() appends " key=old->new" for each. */
+void instance_settings_diff(const struct instance_settings *a,
+			    const struct instance_settings *b, struct buf *out)
 {
-	group_differences(instance_opts, a, b, out);
-	group_differences(listen_opts, a, b, out);
-	group_differences(platform_opts, a, b, out);
-	group_differences(log_opts, a, b, out);
-	group_differences(bounds_opts, a, b, out);
-	group_differences(policy_opts, a, b, out);
+	diff_group(instance_opts, a, b, out);
+	diff_group(listen_opts, a, b, out);
+	diff_group(platform_opts, a, b, out);
+	diff_group(log_opts, a, b, out);
+	diff_group(bounds_opts, a, b, out);
+	diff_group(policy_opts, a, b, out);
 }
 
 /*
- * instance_settings_take_over() takes over what may change in a running
+ * instance_settings_apply_reload() takes over what may change in a running
  * process: the log level and the bounds. The window of the retry budget stays:
  * what was spent is counted in parts of it. Addresses and names stay too.
  */
-void instance_settings_take_over(struct instance_settings *s,
-				 const struct instance_settings *fresh)
+void instance_settings_apply_reload(struct instance_settings *s,
+				    const struct instance_settings *fresh)
 {
 	double window_s = s->bounds.retry_window_s;
 
@@ -179,12 +177,12 @@
 };
 
 /*
- * instance_settings_of_deploy() makes the settings of one instance of a local
+ * instance_settings_from_deploy() makes the settings of one instance of a local
  * deployment: its own interface stands at the address that the deployment
  * names, the rest at ports counted from there. Returns 0 or -ENOENT.
  */
-int instance_settings_of_deploy(const struct deploy *d, const char *name,
-				struct instance_settings *out)
+int instance_settings_from_deploy(const struct deploy *d, const char *name,
+				  struct instance_settings *out)
 {
 	const struct entry_opts *en = deploy_entry(d, name);
 	char host[64];
--- a/options/instance.h
+++ b/options/instance.h
@@ -48,13 +48,12 @@
 
 struct deploy;
 
-int instance_settings_of_deploy(const struct deploy *d, const char *name,
-				struct instance_settings *out);
-void instance_settings_differences(const struct instance_settings *a,
-				   const struct instance_settings *b,
-				   struct buf *out);
+int instance_settings_from_deploy(const struct deploy *d, const char *name,
+				  struct instance_settings *out);
+void instance_settings_diff(const struct instance_settings *a,
+			    const struct instance_settings *b, struct buf *out);
 int instance_settings_load(const char *path, struct instance_settings *out);
-void instance_settings_take_over(struct instance_settings *s,
-				 const struct instance_settings *fresh);
+void instance_settings_apply_reload(struct instance_settings *s,
+				    const struct instance_settings *fresh);
 
 #endif
--- a/options/settings.c
+++ b/options/settings.c
@@ -47,11 +47,11 @@
 }
 
 /*
- * settings_line_of() finds the 1-based line of key in [group], or of the
+ * settings_find_line() finds the 1-based line of key in [group], or of the
  * group header when key is NULL or absent; 0 when the group is absent.
  * GKeyFile keeps no line numbers, so this scans the text it was given.
  */
-int settings_line_of(const char *text, const char *group, const char *key)
+int settings_find_line(const char *text, const char *group, const char *key)
 {
 	size_t glen = strlen(group), klen = key ? strlen(key) : 0;
 	int line = 1, group_line = 0;
@@ -105,12 +105,12 @@
 }
 
 /* Converts one raw value; on a bad value adds a finding and returns. */
-static void store_value(const struct settings *s, const char *group,
+static void parse_value(const struct settings *s, const char *group,
 			const struct opt_def *d, const char *raw, void *out,
 			struct findings *f)
 {
 	char *field = (char *)out + d->offset;
-	int line = settings_line_of(s->text, group, d->key);
+	int line = settings_find_line(s->text, group, d->key);
 	char *end, host[64];
 	long v;
 	int port;
@@ -180,7 +180,7 @@
 			g_strstrip(raw);
 		if (!raw && !d->def) {
 			findings_add(f, s->path,
-				     settings_line_of(s->text, group, NULL),
+				     settings_find_line(s->text, group, NULL),
 				     d->key, "required in [%s]", group);
 			continue;
 		}
@@ -188,7 +188,7 @@
 		bool unset =
 			!raw || (*raw == '\0' && d->type == OPT_REAL && d->def);
 
-		store_value(s, group, d, unset ? d->def : raw, out, f);
+		parse_value(s, group, d, unset ? d->def : raw, out, f);
 		g_free(raw);
 	}
 	settings_check_keys(s, group, defs, f);
@@ -207,7 +207,7 @@
 			d++;
 		if (!d->key)
 			findings_add(f, s->path,
-				     settings_line_of(s->text, group, *k), *k,
+				     settings_find_line(s->text, group, *k), *k,
 				     "unknown key in [%s]", group);
 	}
 	g_strfreev(keys);
--- a/options/settings.h
+++ b/options/settings.h
@@ -49,7 +49,7 @@
 			 struct findings *f);
 void settings_check_keys(const struct settings *s, const char *group,
 			 const struct opt_def *defs, struct findings *f);
-int settings_line_of(const char *text, const char *group, const char *key);
+int settings_find_line(const char *text, const char *group, const char *key);
 void settings_close(struct settings *s);
 
 int addr_split(const char *addr, char *host, size_t host_len, int *port);
--- a/stand/backend.c
+++ b/stand/backend.c
@@ -55,7 +55,7 @@
 /* The lifetime of the instance that sends m, as its Via header names it. */
 static struct lstr sender(const struct http_message *m)
 {
-	struct lstr via = http_find(m, LSTR("Via"));
+	struct lstr via = http_find_header(m, LSTR("Via"));
 
 	return via.ptr ? via : LSTR("");
 }
@@ -114,7 +114,7 @@
 static void write_answer(struct job *j, struct buf *headers, struct buf *body)
 {
 	struct server *s = j->server;
-	struct lstr id = http_find(j->message, LSTR("Attempt-Id"));
+	struct lstr id = http_find_header(j->message, LSTR("Attempt-Id"));
 
 	buf_printf(headers, "Attempt-Id: %.*s\r\nResponse-Seal: stand.%.*s\r\n",
 		   (int)id.len, id.ptr, (int)id.len, id.ptr);
@@ -147,7 +147,7 @@
 	} else if (happens(s, s->faults.extra_pct)) {
 		size_t n = raw.len;
 
-		buf_room(&raw, n);
+		buf_reserve(&raw, n);
 		buf_add(&raw, raw.ptr, n);
 		http_conn_reply_raw(c, buf_lstr(&raw), false);
 	} else {
@@ -204,12 +204,12 @@
 static void job_run(struct job *j)
 {
 	struct server *s = j->server;
-	struct lstr key = http_find(j->message, LSTR("Idempotency-Key"));
+	struct lstr key = http_find_header(j->message, LSTR("Idempotency-Key"));
 	double ms = work_duration_ms(&s->work, clock_ms());
 	char *text;
 
 	if (!key.ptr)
-		key = http_find(j->message, LSTR("Attempt-Id"));
+		key = http_find_header(j->message, LSTR("Attempt-Id"));
 	text = g_strndup(key.ptr, key.len);
 	work_note_run(&s->work, text);
 	g_free(text);
@@ -278,10 +278,10 @@
 static void do_work(struct server *s, struct http_conn *c,
 		    struct http_message *m)
 {
-	struct lstr only = http_find(m, LSTR("Target-Instance"));
+	struct lstr only = http_find_header(m, LSTR("Target-Instance"));
 	struct job *j;
 
-	if (!http_find(m, LSTR("Attempt-Id")).ptr) {
+	if (!http_find_header(m, LSTR("Attempt-Id")).ptr) {
 		reply_not_run(s, c, m, 400);
 		http_message_free(m);
 		return;
@@ -422,7 +422,8 @@
 	s->service = deploy_service(d, service);
 	if (!s->service ||
 	    deploy_worker_addr(s->service, index, s->addr, sizeof(s->addr)) ||
-	    deploy_worker_told(s->service, index, s->told, sizeof(s->told)))
+	    deploy_worker_advertised_addr(s->service, index, s->told,
+					  sizeof(s->told)))
 		return -ENOENT;
 	snprintf(s->id, sizeof(s->id), "%s-%d-%x", service, index,
 		 g_random_int());
--- a/stand/proxy.c
+++ b/stand/proxy.c
@@ -161,7 +161,7 @@
 
 	if (fd < 0)
 		return;
-	socket_tune(fd);
+	socket_set_nodelay(fd);
 	server = port->proxy->refuse ? -ECONNREFUSED
 				     : socket_connect(&port->target);
 	if (server < 0) {
@@ -248,7 +248,7 @@
 
 	for (int i = 0; i < s->workers && !rc; i++) {
 		deploy_worker_addr(s, i, real, sizeof(real));
-		deploy_worker_told(s, i, told, sizeof(told));
+		deploy_worker_advertised_addr(s, i, told, sizeof(told));
 		rc = open_port(p, told, real);
 	}
 	return rc;
@@ -286,7 +286,7 @@
 
 		if (!s || s->proxy_offset == 0)
 			return -ENOENT;
-		deploy_worker_told(s, 0, first, sizeof(first));
+		deploy_worker_advertised_addr(s, 0, first, sizeof(first));
 		rc = open_service(&p, s);
 	} else {
 		rc = open_port(&p, d->entry.platform, d->platform.listen);
--- a/stand/put.c
+++ b/stand/put.c
@@ -6,9 +6,9 @@
 /* A stand-in writes again soon; an answer that is late is not waited for. */
 static const double PUT_TIMEOUT_S = 1.0;
 
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_match judge(void *priv, const struct http_message *m)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 static void on_response(void *priv, struct http_message *m)
@@ -22,7 +22,7 @@
 }
 
 static const struct http_client_ops ops = {
-	.judge = judge, .response = on_response, .failed = on_failed};
+	.match = judge, .response = on_response, .failed = on_failed};
 
 /*
  * stand_put() writes one record of a keyed topic on behalf of a backend
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -237,8 +237,8 @@
 				  struct http_message *m)
 {
 	struct server *s = priv;
-	struct lstr id = http_find(m, LSTR("Attempt-Id"));
-	struct lstr only = http_find(m, LSTR("Target-Instance"));
+	struct lstr id = http_find_header(m, LSTR("Attempt-Id"));
+	struct lstr only = http_find_header(m, LSTR("Target-Instance"));
 	bool health = lstr_eq(m->target, LSTR("/health"));
 	struct job *j;
 
@@ -344,7 +344,7 @@
 	return g_strdup_printf("127.0.0.1:%d", BENCH_PORT + 50 + i);
 }
 
-static inline void bench_mail(void *priv, struct mail *m)
+static inline void bench_mail(void *priv, struct mailbox_msg *m)
 {
 }
 
--- a/tests/bench_callers.h
+++ b/tests/bench_callers.h
@@ -2,16 +2,16 @@
 #ifndef MP_TESTS_BENCH_CALLERS_H
 #define MP_TESTS_BENCH_CALLERS_H
 
-static inline enum http_verdict caller_judge(void *priv,
-					     const struct http_message *m)
+static inline enum http_match caller_judge(void *priv,
+					   const struct http_message *m)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 static inline void caller_response(void *priv, struct http_message *m)
 {
 	struct caller *c = priv;
-	struct lstr after = http_find(m, LSTR("Retry-After"));
+	struct lstr after = http_find_header(m, LSTR("Retry-After"));
 
 	c->status = m->status;
 	if (after.ptr)
@@ -30,7 +30,7 @@
 	c->open = false;
 }
 
-static const struct http_client_ops caller_ops = {.judge = caller_judge,
+static const struct http_client_ops caller_ops = {.match = caller_judge,
 						  .response = caller_response,
 						  .failed = caller_failed};
 
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -327,6 +327,6 @@
 		cmocka_unit_test(test_behind_hubs),
 	};
 
-	mp_log_quiet();
+	mp_log_critical_only();
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_end_check.c
+++ b/tests/test_end_check.c
@@ -19,7 +19,7 @@
 static struct crash_news news[NEWS_MAX];
 static unsigned nnews;
 
-static void on_news(void *priv, struct mail *m)
+static void on_news(void *priv, struct mailbox_msg *m)
 {
 	if (m->kind != FROM_TRAFFIC_CRASH)
 		return;
@@ -436,6 +436,6 @@
 		cmocka_unit_test(test_off),
 	};
 
-	mp_log_quiet();
+	mp_log_critical_only();
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_event.c
+++ b/tests/test_event.c
@@ -30,7 +30,7 @@
 	return s;
 }
 
-static void swap_back(struct swap *s)
+static void restore_stdout(struct swap *s)
 {
 	dup2(s->saved, STDOUT_FILENO);
 	close(s->saved);
@@ -65,7 +65,7 @@
 	mp_event(EV_REQUEST_REFUSED, G_LOG_LEVEL_INFO, "id=%s why=%s", "a-1",
 		 "no room");
 	read_all(s.reader, buf, sizeof(buf));
-	swap_back(&s);
+	restore_stdout(&s);
 	assert_non_null(strstr(buf, " ev=412 "));
 	assert_non_null(
 		strstr(buf, " level=info dropped=0 id=a-1 why=no room\n"));
@@ -77,7 +77,7 @@
 {
 	static char buf[1 << 20];
 	struct swap s = swap_stdout();
-	guint64 lost = mp_log_lost();
+	guint64 lost = mp_log_lines_lost();
 	int lines = 0;
 
 	next_second();
@@ -86,12 +86,12 @@
 		if (i % 100 == 0)
 			read_all(s.reader, buf, sizeof(buf));
 	}
-	lost = mp_log_lost() - lost;
+	lost = mp_log_lines_lost() - lost;
 	read_all(s.reader, buf, sizeof(buf));
 	next_second();
 	mp_event(EV_REQUEST_SENT, G_LOG_LEVEL_INFO, "after");
 	read_all(s.reader, buf, sizeof(buf));
-	swap_back(&s);
+	restore_stdout(&s);
 	for (char *p = buf; (p = strchr(p, '\n')); p++)
 		lines++;
 	assert_int_equal(lines, 1);
@@ -100,10 +100,10 @@
 }
 
 /* Nobody reads: 20,000 lines take no longer than their formatting. */
-static void test_blocked_reader(void **state)
+static void test_reader_stopped(void **state)
 {
 	struct swap s = swap_stdout();
-	guint64 lost = mp_log_lost();
+	guint64 lost = mp_log_lines_lost();
 	char text[900];
 	int64_t t0;
 
@@ -114,10 +114,10 @@
 	for (int i = 0; i < 20000; i++)
 		mp_event(EV_REQUEST_SENT, G_LOG_LEVEL_INFO, "%s", text);
 	t0 = clock_ms() - t0;
-	swap_back(&s);
+	restore_stdout(&s);
 	assert_true(t0 < 2000);
 	/* A pipe holds 64 KB, some 60 of these. */
-	assert_true(mp_log_lost() - lost > 19000);
+	assert_true(mp_log_lines_lost() - lost > 19000);
 }
 
 static void test_level(void **state)
@@ -128,10 +128,10 @@
 	next_second();
 	assert_int_equal(mp_log_set_level("notice"), 0);
 	mp_event(EV_REQUEST_SENT, G_LOG_LEVEL_INFO, "one request");
-	mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE, "a server");
+	mp_event(EV_MEMBER_REMOVED, G_LOG_LEVEL_MESSAGE, "a server");
 	assert_int_equal(mp_log_set_level("info"), 0);
 	read_all(s.reader, buf, sizeof(buf));
-	swap_back(&s);
+	restore_stdout(&s);
 	assert_null(strstr(buf, "one request"));
 	assert_non_null(strstr(buf, "a server"));
 	assert_int_not_equal(mp_log_set_level("loud"), 0);
@@ -142,7 +142,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_line),
 		cmocka_unit_test(test_rate),
-		cmocka_unit_test(test_blocked_reader),
+		cmocka_unit_test(test_reader_stopped),
 		cmocka_unit_test(test_level),
 	};
 
--- a/tests/test_hist.c
+++ b/tests/test_hist.c
@@ -24,11 +24,11 @@
 
 	for (int i = 0; i < 100000; i++) {
 		uint64_t v = g_rand_int(rnd) >> g_rand_int_range(rnd, 0, 31);
-		unsigned b = hist_bucket_of(v);
+		unsigned b = hist_bucket_index(v);
 
-		assert_true(v <= hist_bucket_high(b));
+		assert_true(v <= hist_bucket_max_us(b));
 		if (b > 0)
-			assert_true(v > hist_bucket_high(b - 1));
+			assert_true(v > hist_bucket_max_us(b - 1));
 	}
 	g_rand_free(rnd);
 }
--- a/tests/test_instance.c
+++ b/tests/test_instance.c
@@ -101,7 +101,7 @@
 }
 
 /* A platform that promises less names fewer figures. */
-static void test_figure_left_empty(void **state)
+static void test_empty_optional_values(void **state)
 {
 	struct instance_settings s;
 	char *path = render("bounds.probesPerS");
@@ -167,11 +167,11 @@
 
 	assert_int_equal(instance_settings_load(path, &a), 0);
 	assert_int_equal(instance_settings_load(path, &b), 0);
-	instance_settings_differences(&a, &b, &out);
+	instance_settings_diff(&a, &b, &out);
 	assert_int_equal(out.len, 0);
 	b.bounds.drain_ms = 2500;
 	b.callers = "10.9.9.9:1";
-	instance_settings_differences(&a, &b, &out);
+	instance_settings_diff(&a, &b, &out);
 	assert_true(lstr_eq(buf_lstr(&out),
 			    LSTR(" callers=10.1.0.18:8381->10.9.9.9:1"
 				 " drain_ms=2000->2500")));
@@ -181,7 +181,7 @@
 }
 
 /* A running process takes over bounds and log level, and nothing else. */
-static void test_take_over(void **state)
+static void test_apply_reload(void **state)
 {
 	struct instance_settings a, b;
 	char *path = render(NULL);
@@ -193,11 +193,11 @@
 	b.bounds.retry_window_s = 20;
 	b.log_level = "notice";
 	b.callers = "10.9.9.9:1";
-	instance_settings_take_over(&a, &b);
+	instance_settings_apply_reload(&a, &b);
 	assert_true(a.bounds.retry_slack == 90);
 	assert_string_equal(a.log_level, "notice");
 	/* What is left waits for the next start. */
-	instance_settings_differences(&a, &b, &out);
+	instance_settings_diff(&a, &b, &out);
 	assert_true(lstr_eq(buf_lstr(&out),
 			    LSTR(" callers=10.1.0.18:8381->10.9.9.9:1"
 				 " retry_window_s=10->20")));
@@ -215,31 +215,31 @@
 			 -EINVAL);
 }
 
-static void test_of_deploy(void **state)
+static void test_from_deploy(void **state)
 {
 	struct instance_settings s;
 	struct deploy d;
 
 	assert_int_equal(deploy_load(NULL, &d), 0);
-	assert_int_equal(instance_settings_of_deploy(&d, "e2", &s), 0);
+	assert_int_equal(instance_settings_from_deploy(&d, "e2", &s), 0);
 	assert_string_equal(s.own, "127.0.0.1:7102");
 	assert_string_equal(s.callers, "127.0.0.1:8102");
-	assert_int_equal(instance_settings_of_deploy(&d, "e9", &s), -ENOENT);
+	assert_int_equal(instance_settings_from_deploy(&d, "e9", &s), -ENOENT);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_template),
-		cmocka_unit_test(test_figure_left_empty),
+		cmocka_unit_test(test_empty_optional_values),
 		cmocka_unit_test(test_policy),
 		cmocka_unit_test(test_differences),
-		cmocka_unit_test(test_take_over),
+		cmocka_unit_test(test_apply_reload),
 		cmocka_unit_test(test_no_file),
-		cmocka_unit_test(test_of_deploy),
+		cmocka_unit_test(test_from_deploy),
 	};
 
 	mp_log_init("test");
-	mp_log_quiet();
+	mp_log_critical_only();
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_mailbox.c
+++ b/tests/test_mailbox.c
@@ -17,7 +17,7 @@
 	bool in_order;
 };
 
-static void on_mail(void *priv, struct mail *m)
+static void on_mail(void *priv, struct mailbox_msg *m)
 {
 	struct receiver *r = priv;
 
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -39,7 +39,7 @@
 
 		assert_true(m->done && m->keep_alive);
 		assert_int_equal(m->status, 200);
-		assert_true(lstr_eq(http_find(m, LSTR("x-name")),
+		assert_true(lstr_eq(http_find_header(m, LSTR("x-name")),
 				    LSTR("some value")));
 		assert_true(lstr_eq(buf_lstr(&m->body), LSTR("hello")));
 		http_message_free(m);
@@ -74,7 +74,7 @@
 	assert_true(lstr_eq(buf_lstr(&r.msg->body), LSTR("abcde")));
 	assert_true(lstr_eq(r.msg->target, LSTR("/x")));
 	/* Trailers don't become headers. */
-	assert_null(http_find(r.msg, LSTR("t")).ptr);
+	assert_null(http_find_header(r.msg, LSTR("t")).ptr);
 	http_reader_free(&r);
 }
 
@@ -157,7 +157,7 @@
  * Heads of requests with bytes changed, by seed and in pieces: each is refused,
  * waits for more, or is a whole message with a method and a target.
  */
-static void test_mangled_heads(void **state)
+static void test_corrupted_heads(void **state)
 {
 	static const char text[] =
 		"POST /lepu270/2f HTTP/1.1\r\nHost: jepu9.example\r\n"
@@ -194,7 +194,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_mangled_heads),
+		cmocka_unit_test(test_corrupted_heads),
 		cmocka_unit_test(test_pieces),
 		cmocka_unit_test(test_stops_at_end),
 		cmocka_unit_test(test_chunked),
--- a/tests/test_records.c
+++ b/tests/test_records.c
@@ -437,7 +437,7 @@
 			 MSGPACK_UNPACK_SUCCESS);
 	list = codec_get(&u.data, "addresses");
 	assert_int_equal(list->via.array.size, 2);
-	assert_true(lstr_eq(codec_text(&list->via.array.ptr[1]), addrs[1]));
+	assert_true(lstr_eq(codec_str(&list->via.array.ptr[1]), addrs[1]));
 	assert_true(codec_get(&u.data, "ttlS")->via.f64 == 2.5);
 	msgpack_unpacked_destroy(&u);
 	buf_free(&b);
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -489,6 +489,6 @@
 	};
 
 	mp_log_init("test");
-	mp_log_quiet();
+	mp_log_critical_only();
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_request_log.c
+++ b/tests/test_request_log.c
@@ -38,7 +38,7 @@
 
 	clock_gettime(CLOCK_REALTIME, &t);
 	usleep((useconds_t)(1000000 - t.tv_nsec / 1000));
-	while (mp_log_routine())
+	while (mp_log_allow_routine())
 		;
 }
 
@@ -84,7 +84,7 @@
 static void test_storm_served(void **state)
 {
 	struct bench *b = bench_new(2);
-	guint64 lost = mp_log_lost();
+	guint64 lost = mp_log_lines_lost();
 	struct caller *c;
 
 	begin_storm();
@@ -92,7 +92,7 @@
 	assert_int_equal(c->status, 200);
 	assert_int_equal(count_lines("410", c), 0);
 	assert_int_equal(count_lines("411", c), 0);
-	assert_int_equal(mp_log_lost() - lost, 2);
+	assert_int_equal(mp_log_lines_lost() - lost, 2);
 	bench_free(b);
 }
 
--- a/tests/test_server.c
+++ b/tests/test_server.c
@@ -131,7 +131,7 @@
 
 #define GET "GET /x HTTP/1.1\r\nHost: a\r\n\r\n"
 
-static void test_kept_and_pipelined(void **state)
+static void test_keep_alive_and_pipelining(void **state)
 {
 	struct fixture *f = fixture_new();
 	int fd = dial();
@@ -162,7 +162,7 @@
  * What was sent behind a request whose answer closes the connection is not
  * read: it is neither handled nor answered, so it may be sent again.
  */
-static void test_behind_a_close(void **state)
+static void test_pipelined_after_close(void **state)
 {
 	struct fixture *f = fixture_new();
 	int fd = dial(), before = f->requests;
@@ -180,7 +180,7 @@
 	assert_null(hear(fd));
 	close(fd);
 	/* The same when the server closes, as at a stop. */
-	f->server.last_answers = true;
+	f->server.disable_keep_alive = true;
 	fd = dial();
 	say(fd, GET GET);
 	run_ms(f, 10);
@@ -293,14 +293,14 @@
 }
 
 /* A stop answers who has connected before it, with or without a request. */
-static void test_stop_cuts_nobody(void **state)
+static void test_shutdown_serves_connected(void **state)
 {
 	struct fixture *f = fixture_new();
 	int sent = dial(), late = dial(), idle;
 
 	say(sent, GET);
 	/* Both wait in the accept queue as the listening socket closes. */
-	f->server.last_answers = true;
+	f->server.disable_keep_alive = true;
 	http_server_stop_listening(&f->server);
 	http_server_close_idle(&f->server);
 	run_ms(f, 10);
@@ -324,7 +324,7 @@
 }
 
 /* But a connection that stays silent doesn't hold the stop up for long. */
-static void test_stop_ends(void **state)
+static void test_shutdown_closes_silent(void **state)
 {
 	struct fixture *f = fixture_new();
 	int fd = dial();
@@ -343,14 +343,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_kept_and_pipelined),
-		cmocka_unit_test(test_behind_a_close),
+		cmocka_unit_test(test_keep_alive_and_pipelining),
+		cmocka_unit_test(test_pipelined_after_close),
 		cmocka_unit_test(test_refusals),
 		cmocka_unit_test(test_time_limits),
 		cmocka_unit_test(test_caller_leaves),
 		cmocka_unit_test(test_head_and_continue),
-		cmocka_unit_test(test_stop_cuts_nobody),
-		cmocka_unit_test(test_stop_ends),
+		cmocka_unit_test(test_shutdown_serves_connected),
+		cmocka_unit_test(test_shutdown_closes_silent),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -57,11 +57,11 @@
 
 	findings_init(&f);
 	assert_int_equal(settings_open(&s, path, NULL, &f), 0);
-	assert_int_equal(settings_line_of(s.text, "platform", "member_ttl_ms"),
-			 3);
-	assert_int_equal(settings_line_of(s.text, "service.harta", "workers"),
+	assert_int_equal(
+		settings_find_line(s.text, "platform", "member_ttl_ms"), 3);
+	assert_int_equal(settings_find_line(s.text, "service.harta", "workers"),
 			 8);
-	assert_int_equal(settings_line_of(s.text, "mystery", NULL), 12);
+	assert_int_equal(settings_find_line(s.text, "mystery", NULL), 12);
 	settings_close(&s);
 	deploy_read(path, &d, &f);
 	const struct {
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -26,9 +26,9 @@
 	assert_int_equal(m->draining, heard);
 }
 
-static enum http_verdict take(void *owner, const struct answer_info *info)
+static enum http_match take(void *owner, const struct answer_info *info)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 static void response(void *owner, struct http_message *m,
--- a/tests/test_values.c
+++ b/tests/test_values.c
@@ -100,7 +100,7 @@
 }
 
 /* The newest record outlives the history. */
-static void test_history_forgotten(void **state)
+static void test_trimmed_history(void **state)
 {
 	struct log_part *topic = log_part_new(true);
 	struct conf_values v, now;
@@ -137,7 +137,7 @@
 }
 
 /* Every prefix of a record is refused, never half read. */
-static void test_cut_records(void **state)
+static void test_truncated_records(void **state)
 {
 	struct conf_values v, w;
 	struct buf rec = {0};
@@ -223,9 +223,9 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_stale_base),
 		cmocka_unit_test(test_racing_operators),
-		cmocka_unit_test(test_history_forgotten),
+		cmocka_unit_test(test_trimmed_history),
 		cmocka_unit_test(test_unset_and_bad_items),
-		cmocka_unit_test(test_cut_records),
+		cmocka_unit_test(test_truncated_records),
 		cmocka_unit_test(test_random_histories),
 	};
 
--- a/tools/explain.c
+++ b/tools/explain.c
@@ -35,22 +35,25 @@
 	{EV_REQUEST_SENT, "sent to a backend server"},
 	{EV_REQUEST_DONE, "answered by a backend server"},
 	{EV_REQUEST_REFUSED, "refused: it did not run and never will"},
-	{EV_REQUEST_UNKNOWN, "ended without an answer: it may have run"},
+	{EV_REQUEST_OUTCOME_UNKNOWN,
+	 "ended without an answer: it may have run"},
 	{EV_REQUEST_RETRY, "goes to another server"},
-	{EV_REQUEST_BROKEN, "the connection to a server broke under it"},
-	{EV_REQUEST_EXTRA, "a send beyond its first, from the retry budget"},
-	{EV_REQUEST_WITHDRAWN, "not sent: the server became unavailable"},
-	{EV_LIMIT_SEND, "taken from the limit that the server names"},
-	{EV_REQUEST_GONE, "the caller left"},
+	{EV_REQUEST_CONNECTION_BROKEN,
+	 "the connection to a server broke under it"},
+	{EV_REQUEST_EXTRA_SEND,
+	 "a send beyond its first, from the retry budget"},
+	{EV_REQUEST_SEND_CANCELED, "not sent: the server became unavailable"},
+	{EV_LIMIT_CHARGED, "taken from the limit that the server names"},
+	{EV_REQUEST_CALLER_LEFT, "the caller left"},
 	{EV_REQUEST_NO_ROUTE, "no route takes it"},
-	{EV_CALL_FOREIGN_ANSWER, "a server's answer named another request"},
+	{EV_RESPONSE_MISMATCHED, "a server's answer named another request"},
 	{EV_CONFIG_APPLIED, "a configuration version came into force"},
 	{EV_PLATFORM_UNREACHABLE, "the store stopped answering"},
 	{EV_PLATFORM_RECOVERED, "the store answers again"},
 	{EV_MEMBER_LEAVING, "a server drains"},
-	{EV_MEMBER_GONE, "a server is off the list"},
+	{EV_MEMBER_REMOVED, "a server is off the list"},
 	{EV_BACKEND_DOWN, "a server doesn't answer questions"},
-	{EV_LIMIT_NAMED, "a server names a limit"},
+	{EV_LIMIT_STARTED, "a server names a limit"},
 	{EV_LIMIT_ENDED, "a server names no limit any more"},
 	{EV_STOPPING, "the instance began to stop"},
 	{EV_STARTED, "the instance started"},
@@ -106,7 +109,7 @@
 /* What a process believes, not what it did with some request. */
 static bool is_belief(int ev)
 {
-	return ev < EV_CALL_FOREIGN_ANSWER && ev != EV_MEMBER_JOINED &&
+	return ev < EV_RESPONSE_MISMATCHED && ev != EV_MEMBER_JOINED &&
 	       meaning_of(ev);
 }
 
--- a/tools/fetch.c
+++ b/tools/fetch.c
@@ -12,9 +12,9 @@
 	int result; /* status, or -errno */
 };
 
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_match judge(void *priv, const struct http_message *m)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 static void on_response(void *priv, struct http_message *m)
@@ -36,7 +36,7 @@
 }
 
 static const struct http_client_ops ops = {
-	.judge = judge, .response = on_response, .failed = on_failed};
+	.match = judge, .response = on_response, .failed = on_failed};
 
 /*
  * fetch() sends a request without a body to "a.b.c.d:port" and appends the
--- a/tools/load.c
+++ b/tools/load.c
@@ -26,17 +26,17 @@
 	bool busy;
 };
 
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_match judge(void *priv, const struct http_message *m)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 /* Sorts an answer by what it says of the call. */
 static void count_answer(struct call *c, const struct http_message *m)
 {
 	struct service_load *s = c->service;
-	struct lstr id = http_find(m, LSTR("X-Request-Id"));
-	struct lstr outcome = http_find(m, LSTR("X-Outcome"));
+	struct lstr id = http_find_header(m, LSTR("X-Request-Id"));
+	struct lstr outcome = http_find_header(m, LSTR("X-Outcome"));
 	char *body = g_strndup(m->body.ptr, m->body.len);
 	bool direct = c->load->args->direct;
 
@@ -90,7 +90,7 @@
 }
 
 static const struct http_client_ops ops = {
-	.judge = judge, .response = on_response, .failed = on_failed};
+	.match = judge, .response = on_response, .failed = on_failed};
 
 static struct service_load *pick_service(struct load *l)
 {
--- a/traffic/ask.c
+++ b/traffic/ask.c
@@ -45,16 +45,16 @@
 	r->nasks = 0;
 }
 
-static enum http_verdict ask_judge(void *owner, const struct answer_info *info)
+static enum http_match ask_judge(void *owner, const struct answer_info *info)
 {
 	struct ask *a = owner;
 
 	/* Only an answer that names its server answers the question. */
 	if (info->id.ptr || !info->backend.ptr) {
 		a->traffic->counters.foreign_answers++;
-		return HTTP_SKIP;
+		return HTTP_UNMATCHED;
 	}
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 /* Logs the first question that b doesn't answer, and the next that it does. */
@@ -79,7 +79,7 @@
 /* The address belongs to another start by now: this one has ended. */
 static void forget_backend(struct traffic *t, struct backend *b)
 {
-	mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_MEMBER_REMOVED, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s why=another answers at its address", b->entry.id);
 	backend_set_remove(&t->backends, b->entry.id);
 }
--- a/traffic/end_check.c
+++ b/traffic/end_check.c
@@ -112,9 +112,9 @@
 	ev_timer_start(c->traffic->loop, &c->again);
 }
 
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_match judge(void *priv, const struct http_message *m)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 static void on_response(void *priv, struct http_message *m)
@@ -152,7 +152,7 @@
 	return !is_backing_off(c->backend);
 }
 
-static const struct http_client_ops ops = {.judge = judge,
+static const struct http_client_ops ops = {.match = judge,
 					   .response = on_response,
 					   .failed = on_failed,
 					   .may_send = may_send};
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -44,7 +44,7 @@
 	const struct backend_limit *l = s->backend->state->limit;
 	const struct traffic *t = r->traffic;
 
-	mp_event(EV_LIMIT_SEND, G_LOG_LEVEL_INFO,
+	mp_event(EV_LIMIT_CHARGED, G_LOG_LEVEL_INFO,
 		 "id=%.*s backend=%s service=%s limit_per_s=%g cause=%s "
 		 "from=%s known_ms=%" G_GINT64_FORMAT " lifetime=%08x "
 		 "age_ms=%" G_GINT64_FORMAT " sharers=%u own_per_s=%.3f "
@@ -160,7 +160,7 @@
 	limit_share_take(&b->state->limit->share, now_ms);
 	limit_share_end(&b->state->limit->share, now_ms);
 	t->counters.limits_given++;
-	mp_event(EV_LIMIT_GIVEN, G_LOG_LEVEL_INFO,
+	mp_event(EV_LIMIT_GRANTED, G_LOG_LEVEL_INFO,
 		 "backend=%s service=%s peer_id=%08x left=%.2f", b->entry.id,
 		 s->name, question->from, b->state->limit->share.tokens);
 	grant.what = b->start;
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -39,7 +39,7 @@
 {
 	const struct limit_part *p = &b->state->limit->share.part;
 
-	mp_event(change == LIMIT_ENDED ? EV_LIMIT_ENDED : EV_LIMIT_NAMED,
+	mp_event(change == LIMIT_ENDED ? EV_LIMIT_ENDED : EV_LIMIT_STARTED,
 		 G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s limit_per_s=%g before=%g by=%s "
 		 "asked_ago_ms=%" G_GINT64_FORMAT
@@ -57,7 +57,7 @@
 	if (b->state->limit_bad)
 		return;
 	b->state->limit_bad = true;
-	mp_event(EV_LIMIT_BAD, G_LOG_LEVEL_WARNING,
+	mp_event(EV_LIMIT_INVALID, G_LOG_LEVEL_WARNING,
 		 "backend=%s service=%s limit=%.*s; what was known stays in "
 		 "force",
 		 b->entry.id, b->service->name, (int)MIN(text.len, 64),
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -133,7 +133,7 @@
 	buf_printf(out, "store_calls %" G_GUINT64_FORMAT "\n",
 		   ck_pr_load_64(&v->store_calls));
 	buf_printf(out, "log_lines_lost %" G_GUINT64_FORMAT "\n",
-		   mp_log_lost());
+		   mp_log_lines_lost());
 	buf_printf(out, "lifetime{id=\"%08x\"} %" G_GINT64_FORMAT "\n",
 		   t->lifetime, clock_ms() - t->started_ms);
 	buf_printf(out, "instances %u\n", t->peers.instances);
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -169,7 +169,7 @@
 {
 	r->stats->unknown++;
 	r->traffic->trouble_ms = clock_ms();
-	request_log_outcome(r, EV_REQUEST_UNKNOWN, status, why, 0);
+	request_log_outcome(r, EV_REQUEST_OUTCOME_UNKNOWN, status, why, 0);
 	answer_own(r, status, 0);
 }
 
@@ -400,7 +400,7 @@
 		&t->backends, route_pick(route, g_rand_int(t->rand)));
 	r->stats = traffic_class(t, r->service->name, route->target_ms);
 	r->start_ms = clock_ms();
-	r->untold = !mp_log_routine();
+	r->untold = !mp_log_allow_routine();
 	if (call->has_time_left) {
 		note_patience(r, left);
 		r->spent_before_ms = patience_spent_ms(&r->stats->patience,
@@ -428,7 +428,7 @@
 
 	exchange_read_call(m, &call);
 	if (!call.host.len || !call.id.len) {
-		mp_event(EV_REQUEST_BAD, G_LOG_LEVEL_INFO,
+		mp_event(EV_REQUEST_INVALID, G_LOG_LEVEL_INFO,
 			 "a request without host or id");
 		http_message_free(m);
 		http_conn_reply(c, &(struct http_reply){.status = 400});
@@ -454,7 +454,7 @@
 	if (!r)
 		return;
 	r->stats->gone++;
-	request_log_outcome(r, EV_REQUEST_GONE, 0, "caller left", 0);
+	request_log_outcome(r, EV_REQUEST_CALLER_LEFT, 0, "caller left", 0);
 	r->conn = NULL;
 	if (!r->route->idempotent && request_is_out(r))
 		return;
--- a/traffic/request_log.c
+++ b/traffic/request_log.c
@@ -92,7 +92,7 @@
 	struct budget_window w =
 		budget_window(&s->budget, &t->budget_rule, clock_boot_ms());
 
-	mp_event(EV_REQUEST_EXTRA, G_LOG_LEVEL_INFO,
+	mp_event(EV_REQUEST_EXTRA_SEND, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64
 		 " service=%s cause=%s lifetime=%08x age_ms=%" G_GINT64_FORMAT
 		 " requests=%" G_GUINT64_FORMAT " spent=%" G_GUINT64_FORMAT
@@ -113,7 +113,7 @@
 	int64_t now_ms = clock_ms();
 
 	tell(r, now_ms);
-	mp_event(EV_REQUEST_BROKEN, G_LOG_LEVEL_INFO,
+	mp_event(EV_REQUEST_CONNECTION_BROKEN, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64 " backend=%s service=%s err=%s "
 		 "at_server_ms=%" G_GINT64_FORMAT " beside=%u draining=%d "
 		 "gone=%d",
@@ -132,7 +132,7 @@
 		backend_availability(s->backend, SEND_COMMITTED, now_ms);
 
 	tell(r, now_ms);
-	mp_event(EV_REQUEST_WITHDRAWN, G_LOG_LEVEL_INFO,
+	mp_event(EV_REQUEST_SEND_CANCELED, G_LOG_LEVEL_INFO,
 		 "id=%.*s digest=%016" PRIx64 " backend=%s hold=%s "
 		 "chosen_ago_ms=%" G_GINT64_FORMAT,
 		 (int)r->call.id.len, r->call.id.ptr, r->digest,
@@ -144,7 +144,7 @@
 			 struct lstr answered)
 {
 	tell(r, clock_ms());
-	mp_event(EV_CALL_FOREIGN_ANSWER, G_LOG_LEVEL_WARNING,
+	mp_event(EV_RESPONSE_MISMATCHED, G_LOG_LEVEL_WARNING,
 		 "id=%.*s backend=%s answered=%.*s; skipped",
 		 (int)r->call.id.len, r->call.id.ptr, s->backend->entry.id,
 		 (int)answered.len, answered.ptr ? answered.ptr : "");
@@ -166,7 +166,7 @@
 	int64_t now_ms = clock_ms();
 
 	if (r->untold && went_well(r, ev, status, now_ms)) {
-		mp_log_withheld(r->nsends + 1);
+		mp_log_add_suppressed(r->nsends + 1);
 		return;
 	}
 	tell(r, now_ms);
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -46,15 +46,15 @@
 	}
 }
 
-static enum http_verdict send_judge(void *owner, const struct answer_info *info)
+static enum http_match send_judge(void *owner, const struct answer_info *info)
 {
 	struct send *s = owner;
 
 	if (exchange_is_for(info, s->request->call.id))
-		return HTTP_TAKE;
+		return HTTP_MATCHED;
 	s->request->traffic->counters.foreign_answers++;
 	request_log_foreign(s->request, s, info->id);
-	return HTTP_SKIP;
+	return HTTP_UNMATCHED;
 }
 
 /* Learns from an answer how long work takes, and there. */
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -3,7 +3,7 @@
 
 #include <ck_pr.h>
 
-#include "caller/own.h"
+#include "caller/native_api.h"
 #include "common/event.h"
 #include "core/mechanisms.h"
 #include "core/policy.h"
@@ -135,7 +135,8 @@
 static const struct http_server_ops front_ops = {request_begin, request_gone};
 static const struct http_server_ops ready_ops = {on_ready, NULL};
 static const struct http_server_ops directory_ops = {on_directory, NULL};
-static const struct http_server_ops own_ops = {own_request, request_gone};
+static const struct http_server_ops own_ops = {native_api_request,
+					       request_gone};
 static const struct http_server_ops metrics_ops = {on_metrics, NULL};
 
 static void on_backend_gone(void *priv, struct backend *b, bool ended)
@@ -232,8 +233,8 @@
 {
 	t->stopping = true;
 	t->stopping_ms = clock_ms();
-	t->front.last_answers = true;
-	t->own.last_answers = true;
+	t->front.disable_keep_alive = true;
+	t->own.disable_keep_alive = true;
 	ev_timer_init(&t->stop_timer, on_stop_check, STOP_CHECK_MS / 1000.0,
 		      STOP_CHECK_MS / 1000.0);
 	t->stop_timer.data = t;
@@ -269,7 +270,7 @@
 	drain_news_peers_changed(t);
 }
 
-static void receive(void *priv, struct mail *m)
+static void receive(void *priv, struct mailbox_msg *m)
 {
 	struct traffic *t = priv;
 
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -52,16 +52,16 @@
 }
 
 /* Feedback counts also if the owner skips the response. */
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_match judge(void *priv, const struct http_message *m)
 {
 	struct upstream *u = priv;
 	struct feedback answer = {.sent_ms = u->sent_ms,
 				  .question = u->question};
-	enum http_verdict verdict;
+	enum http_match verdict;
 
 	exchange_read_answer(m, &answer.info);
 	verdict = u->ops->judge(u->owner, &answer.info);
-	answer.awaited = verdict == HTTP_TAKE;
+	answer.awaited = verdict == HTTP_MATCHED;
 	feedback_apply(u->traffic, u->backend, &answer);
 	return verdict;
 }
@@ -186,10 +186,10 @@
 	u->backend->conns = u;
 }
 
-static enum http_verdict detached_judge(void *owner,
-					const struct answer_info *info)
+static enum http_match detached_judge(void *owner,
+				      const struct answer_info *info)
 {
-	return HTTP_SKIP;
+	return HTTP_UNMATCHED;
 }
 
 static void detached_failed(void *owner, int err, bool sent)
--- a/traffic/upstream.h
+++ b/traffic/upstream.h
@@ -12,7 +12,7 @@
 /* How an owner hears of what became of its request. */
 struct upstream_ops {
 	/* Whose answer is it? */
-	enum http_verdict (*judge)(void *owner, const struct answer_info *info);
+	enum http_match (*judge)(void *owner, const struct answer_info *info);
 	/* The awaited answer; m belongs to the callee, `info` is of it. */
 	void (*response)(void *owner, struct http_message *m,
 			 const struct answer_info *info);
