--- a/app/instance.c
+++ b/app/instance.c
@@ -8,6 +8,7 @@
 #include "platform/records.h"
 #include "traffic/traffic.h"
 
+/* Decodes a record of the users' operator. */
 static struct config *decode_operator_config(void *priv, struct lstr value,
 					     struct findings *f)
 {
@@ -15,12 +16,12 @@
 }
 
 /*
- * The configuration is the users' operator's, or the product's own: the
- * settings of a deployment with the patches that operators made by ctl.
+ * Selects the configuration: written by the users' operator, or the settings
+ * of a local deployment with the patches made by `mimosapitch ctl`.
  */
-static struct config_source config_source_for(const struct deploy *patched)
+static struct config_source config_source_for(const struct deploy *conf_deploy)
 {
-	if (!patched)
+	if (!conf_deploy)
 		return (struct config_source){
 			.topic = STORE_TOPIC_CONFIG,
 			.key = STORE_KEY_CONFIG,
@@ -30,26 +31,27 @@
 		.topic = CONF_TOPIC,
 		.key = CONF_KEY,
 		.decode = conf_decode,
-		.priv = (void *)patched,
+		.priv = (void *)conf_deploy,
 		.usable_when_absent = true,
 	};
 }
 
 /*
- * instance_run() runs an entry instance until it was stopped as planned: the
- * control thread is the calling one, traffic has another. On SIGHUP the
- * settings come from `settings_source` anew. `patched` is the
+ * instance_run() runs an entry instance until its graceful shutdown. The
+ * calling thread becomes the control thread; traffic gets its own thread. On
+ * SIGHUP the settings are reloaded from `settings_source`. `conf_deploy` is the
  * deployment whose configuration operators patch (NULL: the users' operator
- * writes it), `own` the one that the product's own interface serves (NULL:
- * none). Returns 0 or a negative errno.
+ * writes it), `api_deploy` the one that the native API serves (NULL: none).
+ * Returns 0 or a negative errno.
  */
 int instance_run(const struct instance_settings *s,
 		 const struct settings_source *settings_source,
-		 const struct deploy *patched, const struct deploy *own)
+		 const struct deploy *conf_deploy,
+		 const struct deploy *api_deploy)
 {
 	static struct control control;
 	static struct traffic traffic;
-	struct config_source source = config_source_for(patched);
+	struct config_source source = config_source_for(conf_deploy);
 	pthread_t thread;
 	int rc;
 
@@ -58,7 +60,8 @@
 		return rc;
 	rc = control_init(&control, s, settings_source, &source, &traffic.in);
 	if (!rc)
-		rc = traffic_init(&traffic, s, own, &control.view, &control.in);
+		rc = traffic_init(&traffic, s, api_deploy, &control.view,
+				  &control.in);
 	if (rc)
 		return rc;
 	mp_event(EV_STARTED, G_LOG_LEVEL_MESSAGE,
--- a/app/instance.h
+++ b/app/instance.h
@@ -1,4 +1,4 @@
-/* One entry instance: its two threads from start to planned stop. */
+/* Runs an entry instance and its two threads until shutdown. */
 #ifndef MP_APP_INSTANCE_H
 #define MP_APP_INSTANCE_H
 
@@ -7,6 +7,7 @@
 
 int instance_run(const struct instance_settings *s,
 		 const struct settings_source *settings_source,
-		 const struct deploy *patched, const struct deploy *own);
+		 const struct deploy *conf_deploy,
+		 const struct deploy *api_deploy);
 
 #endif
--- a/app/main.c
+++ b/app/main.c
@@ -1,6 +1,7 @@
 /*
- * mimosapitch: one binary, one role a process. The first word names the
- * role; popt reads the rest. Nothing starts while its settings have findings.
+ * mimosapitch: one binary for all roles, one role per process. The first
+ * argument selects the role; popt parses the rest. A process with invalid
+ * settings doesn't start.
  */
 #include <errno.h>
 #include <signal.h>
@@ -56,7 +57,7 @@
 	int version, from_operator;
 };
 
-/* Parses argv after the role word; returns 0 or -EINVAL. */
+/* Parses the arguments after the role. Returns 0 or -EINVAL. */
 static int parse(int argc, const char **argv, struct cli *o, char ***rest)
 {
 	struct poptOption table[] = {
@@ -67,27 +68,27 @@
 		{"name", 'n', POPT_ARG_STRING, &o->name, 0, "entry name",
 		 "NAME"},
 		{"from-operator", 0, POPT_ARG_NONE, &o->from_operator, 0,
-		 "entry: take the users' operator's configuration", NULL},
+		 "entry: use the users' operator's configuration", NULL},
 		{"service", 0, POPT_ARG_STRING, &o->service, 0, "service", "S"},
 		{"index", 'i', POPT_ARG_INT, &o->index, 0, "server index", "I"},
 		{"seed", 0, POPT_ARG_INT, &o->seed, 0, "random seed", "N"},
 		{"base", 'b', POPT_ARG_INT, &o->base, 0,
-		 "version the patch is made against", "N"},
+		 "version that the patch is based on", "N"},
 		{"version", 0, POPT_ARG_INT, &o->version, 0,
 		 "operator: version to write", "N"},
 		{"unset", 0, POPT_ARG_STRING, &o->unset, 0, "keys to remove",
 		 "K,.."},
 		{"wait", 'w', POPT_ARG_NONE, &o->wait, 0,
-		 "wait until every entry has it", NULL},
+		 "wait until every entry has applied it", NULL},
 		{"last", 0, POPT_ARG_INT, &o->last, 0, "versions to list", "N"},
 		{"seconds", 0, POPT_ARG_INT, &o->seconds, 0, "run time", "N"},
-		{"rate", 0, POPT_ARG_INT, &o->rate, 0, "calls a second", "N"},
+		{"rate", 0, POPT_ARG_INT, &o->rate, 0, "calls per second", "N"},
 		{"concurrency", 0, POPT_ARG_INT, &o->concurrency, 0,
-		 "calls in flight at most", "N"},
+		 "maximum concurrent calls", "N"},
 		{"entries", 0, POPT_ARG_INT, &o->entries, 0,
-		 "call only the first N entries that the list names", "N"},
+		 "call only the first N listed entries", "N"},
 		{"direct", 0, POPT_ARG_NONE, &o->direct, 0,
-		 "load: call the servers straight (a baseline)", NULL},
+		 "load: call the servers directly (baseline)", NULL},
 		{"tenant", 0, POPT_ARG_STRING, &o->tenant, 0,
 		 "only this tenant", "T"},
 		POPT_AUTOHELP POPT_TABLEEND,
@@ -105,6 +106,7 @@
 	return rc < -1 ? -EINVAL : 0;
 }
 
+/* Checks the arguments of ctl and runs it. */
 static int run_ctl(const struct deploy *d, struct cli *o, char **rest)
 {
 	static const char *const commands[] = {"show", "log", "patch", "status",
@@ -127,6 +129,7 @@
 	return ctl_main(d, &a);
 }
 
+/* Runs the load generator; 0 stands for an option's default. */
 static int run_load(const struct deploy *d, const struct cli *o)
 {
 	struct load_args a = {
@@ -143,7 +146,7 @@
 	return load_main(d, &a);
 }
 
-/* Reads the deployment's file anew for the instance that `priv` names. */
+/* settings_source.load for an entry of a local deployment. */
 static int reload_deployment(void *priv, struct instance_settings *out)
 {
 	const struct cli *o = priv;
@@ -153,6 +156,7 @@
 	return rc ? rc : instance_settings_from_deploy(&d, o->name, out);
 }
 
+/* Runs an entry instance of a local deployment. */
 static int run_entry(const struct deploy *d, struct cli *o)
 {
 	struct settings_source source = {reload_deployment, o};
@@ -197,12 +201,13 @@
 	return -EINVAL;
 }
 
+/* settings_source.load for an instance on the platform. */
 static int reload_file(void *priv, struct instance_settings *out)
 {
 	return instance_settings_load(priv, out);
 }
 
-/* Runs or checks an instance on the platform. */
+/* Runs an instance on the platform, or validates its settings. */
 static int run_on_platform(const char *role, const struct cli *o)
 {
 	const char *path =
@@ -217,7 +222,10 @@
 				     : 0;
 }
 
-/* Exit status: 0 done, 1 a rejected patch, 2 unknown, 64 usage, 78 config. */
+/*
+ * Exit status: 0 success, 1 patch rejected, 2 unknown outcome, 64 usage,
+ * 70 internal error, 78 invalid settings.
+ */
 int main(int argc, const char **argv)
 {
 	struct cli o = {.base = -1};
--- a/caller/native_api.c
+++ b/caller/native_api.c
@@ -8,7 +8,7 @@
 #include "traffic/metrics.h"
 #include "traffic/request.h"
 
-/* A caller with an unknown outcome asks again after this, with its key. */
+/* Retry-After of an unknown outcome; callers retry with the same key. */
 static const double UNKNOWN_RETRY_AFTER_S = 2;
 
 #define H_REQUEST_ID	  LSTR("X-Request-Id")
@@ -16,7 +16,7 @@
 
 static const char *const outcome_names[] = {"done", "not-run", "unknown"};
 
-/* What a status of an answer means for the caller. */
+/* Maps a response's status to the outcome for the caller. */
 static enum call_outcome outcome_from_status(unsigned status)
 {
 	if (status / 100 == 2)
@@ -26,14 +26,16 @@
 	return CALL_UNKNOWN;
 }
 
+/* Writes the headers that every response to a call carries. */
 static void write_outcome(struct buf *out, struct lstr id, enum call_outcome oc)
 {
 	buf_printf(out, "X-Outcome: %s\r\n%s: %.*s\r\n", outcome_names[oc],
 		   H_REQUEST_ID.ptr, (int)id.len, id.ptr);
 }
 
-static void write_own(struct buf *out, struct lstr id, unsigned status,
-		      double retry_after_s)
+/* Writes the headers of a response that the instance generates. */
+static void write_local_outcome(struct buf *out, struct lstr id,
+				unsigned status, double retry_after_s)
 {
 	enum call_outcome oc = outcome_from_status(status);
 
@@ -44,13 +46,14 @@
 		buf_printf(out, "Retry-After: %.3f\r\n", retry_after_s);
 }
 
-static void write_answer(struct buf *out, struct lstr id,
-			 const struct http_message *answer)
+/* Writes the headers added to a backend server's response. */
+static void write_server_outcome(struct buf *out, struct lstr id,
+				 const struct http_message *response)
 {
-	write_outcome(out, id, outcome_from_status(answer->status));
+	write_outcome(out, id, outcome_from_status(response->status));
 }
 
-/* The key of a protected call, as text to be freed; NULL: none. */
+/* Returns the Idempotency-Key, to be freed by the caller, or NULL. */
 static char *idempotency_key(const struct http_message *m)
 {
 	struct lstr key = http_find_header(m, H_IDEMPOTENCY_KEY);
@@ -58,7 +61,8 @@
 	return key.len ? g_strndup(key.ptr, key.len) : NULL;
 }
 
-static void settled(struct request *r, unsigned status, struct lstr body)
+/* Stores the outcome of a call for later calls with the same key. */
+static void record_outcome(struct request *r, unsigned status, struct lstr body)
 {
 	char *key = idempotency_key(r->message);
 	char *text;
@@ -72,9 +76,10 @@
 	g_free(key);
 }
 
-static const struct caller_protocol native_protocol = {write_own, write_answer,
-						       settled};
+static const struct caller_protocol native_protocol = {
+	write_local_outcome, write_server_outcome, record_outcome};
 
+/* Sends a reply. */
 static void reply(struct http_conn *c, unsigned status, struct lstr headers,
 		  struct lstr body)
 {
@@ -83,20 +88,22 @@
 						.body = body});
 }
 
-/* Refuses a call before it is matched or placed. */
-static void refuse(struct http_conn *c, unsigned status, struct lstr id,
-		   const char *why)
+/* Rejects a call before a route or a backend server is selected. */
+static void reject_call(struct http_conn *c, unsigned status, struct lstr id,
+			const char *why)
 {
 	struct buf headers = {0}, body = {0};
 
-	write_own(&headers, id, status,
-		  status == 503 ? RETRY_AFTER_NO_TARGET_MS / 1000.0 : 0);
+	write_local_outcome(&headers, id, status,
+			    status == 503 ? RETRY_AFTER_NO_TARGET_MS / 1000.0
+					  : 0);
 	buf_printf(&body, "{\"error\":\"%s\"}", why);
 	reply(c, status, buf_lstr(&headers), buf_lstr(&body));
 	buf_free(&headers);
 	buf_free(&body);
 }
 
+/* GET /v1/entries: lists the entry instances. */
 static void handle_entries(struct traffic *t, struct http_conn *c)
 {
 	struct buf body = {0};
@@ -120,6 +127,7 @@
 	buf_free(&body);
 }
 
+/* GET /admin/metrics: returns the metrics as text. */
 static void handle_metrics(struct traffic *t, struct http_conn *c)
 {
 	struct buf body = {0};
@@ -129,13 +137,13 @@
 	buf_free(&body);
 }
 
-/* Reads the headers of a call; returns why it is refused, or NULL. */
-static const char *read_call(const struct http_message *m,
-			     const struct service_opts *s,
-			     struct call_info *call, unsigned *status)
+/* Parses a call's headers. Returns the reason to reject it, or NULL. */
+static const char *parse_headers(const struct http_message *m,
+				 const struct service_opts *s,
+				 struct call_info *call, unsigned *status)
 {
 	struct lstr tenant = http_find_header(m, LSTR("X-Tenant"));
-	struct lstr limit = http_find_header(m, LSTR("X-Deadline-Ms"));
+	struct lstr deadline = http_find_header(m, LSTR("X-Deadline-Ms"));
 	char text[16] = "";
 	long ms;
 
@@ -149,9 +157,9 @@
 	call->caller = tenant;
 	if (s->protected_action && !http_find_header(m, H_IDEMPOTENCY_KEY).len)
 		return "protected action needs an Idempotency-Key";
-	if (!limit.ptr)
+	if (!deadline.ptr)
 		return NULL;
-	memcpy(text, limit.ptr, MIN(limit.len, sizeof(text) - 1));
+	memcpy(text, deadline.ptr, MIN(deadline.len, sizeof(text) - 1));
 	ms = strtol(text, NULL, 10);
 	if (ms <= 0 || ms > INT32_MAX)
 		return "bad X-Deadline-Ms";
@@ -161,8 +169,8 @@
 }
 
 /*
- * Answers a key that was seen before from the first call's outcome; it never
- * runs a second time. Returns whether it was seen.
+ * Replies to a call whose key is known with the first call's outcome, since it
+ * must not be executed twice. Returns whether the key is known.
  */
 static bool reply_duplicate(struct traffic *t, struct http_conn *c,
 			    const struct service_opts *s, struct lstr id,
@@ -178,12 +186,14 @@
 		reply(c, 200, buf_lstr(&headers), lstr0(seen.body));
 		buf_free(&headers);
 	} else {
-		refuse(c, 504, id, "first call with this key has no outcome");
+		reject_call(c, 504, id,
+			    "first call with this key has no outcome");
 	}
 	g_free(seen.body);
 	return true;
 }
 
+/* Validates a call and starts the request. */
 static void handle_call(struct traffic *t, struct http_conn *c,
 			struct http_message *m, const struct service_opts *s,
 			struct call_info *call)
@@ -192,35 +202,36 @@
 	const char *why;
 	unsigned status;
 	char *key;
-	bool seen;
+	bool duplicate;
 
-	why = read_call(m, s, call, &status);
+	why = parse_headers(m, s, call, &status);
 	if (why) {
-		refuse(c, status, call->id, why);
+		reject_call(c, status, call->id, why);
 		http_message_free(m);
 		return;
 	}
 	if (!t->config) {
-		refuse(c, 503, call->id, "configuration not known yet");
+		reject_call(c, 503, call->id, "configuration not known yet");
 		http_message_free(m);
 		return;
 	}
 	route = config_match(t->config, call->host, call->path);
 	if (!route) {
-		refuse(c, 404, call->id, "no route in this configuration");
+		reject_call(c, 404, call->id, "no route in this configuration");
 		http_message_free(m);
 		return;
 	}
 	key = s->protected_action ? idempotency_key(m) : NULL;
-	seen = key && reply_duplicate(t, c, s, call->id, key);
+	duplicate = key && reply_duplicate(t, c, s, call->id, key);
 	g_free(key);
-	if (seen) {
+	if (duplicate) {
 		http_message_free(m);
 		return;
 	}
 	request_start(t, c, m, call, route, &native_protocol);
 }
 
+/* Finds the service of a call. */
 static void dispatch_call(struct traffic *t, struct http_conn *c,
 			  struct http_message *m)
 {
@@ -231,7 +242,7 @@
 	char *name = g_strndup(m->target.ptr + skip, m->target.len - skip);
 
 	s = t->deploy ? deploy_service(t->deploy, name) : NULL;
-	/* Routes end with a slash, services in targets don't. */
+	/* Path prefixes of routes end with a slash, request targets don't. */
 	call.path =
 		lstr0(arena_printf(&m->arena, CONF_NATIVE_PREFIX "%s/", name));
 	g_free(name);
@@ -239,11 +250,11 @@
 		handle_call(t, c, m, s, &call);
 		return;
 	}
-	refuse(c, 404, call.id, "no such service");
+	reject_call(c, 404, call.id, "no such service");
 	http_message_free(m);
 }
 
-/* native_api_request() takes a request on the product's own interface. */
+/* native_api_request() handles a request on the native API. */
 void native_api_request(void *traffic, struct http_conn *c,
 			struct http_message *m)
 {
@@ -261,6 +272,6 @@
 	else if (lstr_eq(m->target, LSTR("/admin/metrics")))
 		handle_metrics(t, c);
 	else
-		refuse(c, 404, LSTR("-"), "no such path");
+		reject_call(c, 404, LSTR("-"), "no such path");
 	http_message_free(m);
 }
--- a/caller/native_api.h
+++ b/caller/native_api.h
@@ -1,10 +1,10 @@
 /*
- * The product's own interface towards callers:
- *   GET  /v1/entries        which instances to use, and for how long
+ * Native HTTP API for callers:
+ *   GET  /v1/entries        entry instances to use, and how long to cache them
  *   POST /v1/call/SERVICE   X-Tenant, X-Request-Id, X-Deadline-Ms,
  *                           Idempotency-Key (protected services)
  *   GET  /admin/metrics     counters and histograms
- * Answers carry X-Outcome: done, not-run or unknown.
+ * Responses to calls have an X-Outcome header: done, not-run or unknown.
  */
 #ifndef MP_CALLER_NATIVE_API_H
 #define MP_CALLER_NATIVE_API_H
--- a/common/event.c
+++ b/common/event.c
@@ -13,14 +13,14 @@
 enum {
 	LINE_MAX_BYTES = 1200,
 	/*
-	 * Lines a second that are written at most: a few times what a busy
-	 * instance decides in a second, so that a storm costs no service.
+	 * Rate limit: a few times what a busy instance logs, so that a burst
+	 * of log lines doesn't slow down requests.
 	 */
 	LINES_PER_S = 400,
 	/*
-	 * Requests a second whose lines are written also when all goes well.
-	 * Two lines each are half of all lines; the other half stays for
-	 * requests that fail and for what the process comes to believe.
+	 * Successful requests that are logged per second. At two lines each
+	 * they use half of LINES_PER_S; the other half is reserved for failed
+	 * requests and state changes.
 	 */
 	ROUTINE_REQUESTS_PER_S = 100,
 };
@@ -28,7 +28,7 @@
 static const char *log_role = "-";
 static bool to_stdout, quiet;
 static uint64_t dropped, lost, lines_this_s;
-static bool brief; /* leaves out what touches single requests */
+static bool brief; /* omits events of single requests */
 static uint64_t this_s, routine_this_s;
 
 static const char *level_name(GLogLevelFlags level)
@@ -46,22 +46,22 @@
 	return "debug";
 }
 
-/* A line that was left out: told with the next one, and in all. */
+/* Counts a dropped line, for the next line's `dropped` and the total. */
 static void count_dropped(void)
 {
 	ck_pr_inc_64(&dropped);
 	ck_pr_inc_64(&lost);
 }
 
-/* mp_log_lines_lost() counts the lines that were left out since the start. */
+/* mp_log_lines_lost() returns the lines dropped since the process started. */
 guint64 mp_log_lines_lost(void)
 {
 	return ck_pr_load_64(&lost);
 }
 
 /*
- * mp_log_set_level() chooses "info" (all lines, the default) or "notice"
- * (without those of single requests). Returns 0 or -EINVAL.
+ * mp_log_set_level() sets the level: "info" (everything, the default) or
+ * "notice" (no events of single requests). Returns 0 or -EINVAL.
  */
 int mp_log_set_level(const char *name)
 {
@@ -71,7 +71,7 @@
 	return 0;
 }
 
-/* Begins a new second's allowances when it is time. */
+/* Resets the per-second counters when a new second has begun. */
 static void start_second(const struct timespec *ts)
 {
 	if (ck_pr_load_64(&this_s) == (uint64_t)ts->tv_sec)
@@ -81,7 +81,7 @@
 	ck_pr_store_64(&routine_this_s, 0);
 }
 
-/* Tells whether one more line fits this second's allowance. */
+/* Counts a line and returns whether it is within the rate limit. */
 static bool within_rate(const struct timespec *ts)
 {
 	start_second(ts);
@@ -89,10 +89,10 @@
 }
 
 /*
- * mp_log_allow_routine() tells whether one more request may have its lines written
- * as they come. Otherwise the caller holds them back until the request ends:
- * one that fails is still told in full, one that went well is only counted,
- * with mp_log_add_suppressed().
+ * mp_log_allow_routine() returns whether the lines of one more request may be
+ * written immediately. If not, the caller defers them until the request ends:
+ * a failed request is then logged in full, the lines of a successful one are
+ * only counted, with mp_log_add_suppressed().
  */
 bool mp_log_allow_routine(void)
 {
@@ -103,7 +103,7 @@
 	return ck_pr_faa_64(&routine_this_s, 1) < ROUTINE_REQUESTS_PER_S;
 }
 
-/* mp_log_add_suppressed() counts lines of a request that went well as left out. */
+/* mp_log_add_suppressed() counts a successful request's lines as dropped. */
 void mp_log_add_suppressed(unsigned lines)
 {
 	ck_pr_add_64(&dropped, lines);
@@ -111,8 +111,8 @@
 }
 
 /*
- * Writes a line if that can't block: a pipe that polls as writable takes a
- * line whole. Lines that were left out are counted and told later.
+ * Writes a line only if that can't block: a pipe that polls as writable
+ * accepts a whole line. Otherwise the line is counted as dropped.
  */
 static void write_nonblocking(const char *line, size_t n)
 {
@@ -123,22 +123,24 @@
 		count_dropped();
 }
 
+/* Writes a rate-limited line with the number of lines dropped before it. */
 static void write_stdout(const struct timespec *ts, const char *ev,
 			 GLogLevelFlags level, const char *msg)
 {
 	char line[LINE_MAX_BYTES];
-	uint64_t before;
+	uint64_t dropped_before;
 	int n;
 
 	if (!within_rate(ts)) {
 		count_dropped();
 		return;
 	}
-	before = ck_pr_fas_64(&dropped, 0);
+	dropped_before = ck_pr_fas_64(&dropped, 0);
 	n = snprintf(line, sizeof(line),
 		     "ts=%lld.%03ld role=%s ev=%s level=%s dropped=%llu %s\n",
 		     (long long)ts->tv_sec, ts->tv_nsec / 1000000, log_role, ev,
-		     level_name(level), (unsigned long long)before, msg);
+		     level_name(level), (unsigned long long)dropped_before,
+		     msg);
 	if (n >= (int)sizeof(line)) {
 		n = sizeof(line);
 		line[n - 1] = '\n';
@@ -147,9 +149,9 @@
 }
 
 /*
- * The writer prints one line per event, logfmt style, to stderr, so that
- * both a person and a line-oriented collector can read it. Debug lines are
- * dropped unless G_MESSAGES_DEBUG is set, as GLib does by default.
+ * GLib's log writer: one logfmt line per event, to stderr or stdout, readable
+ * for people and line-oriented collectors. Debug lines are omitted unless
+ * G_MESSAGES_DEBUG is set, as GLib does by default.
  */
 static GLogWriterOutput write_line(GLogLevelFlags level,
 				   const GLogField *fields, gsize n_fields,
@@ -182,7 +184,7 @@
 	return G_LOG_WRITER_HANDLED;
 }
 
-/* mp_log_init() names the role on every line and installs the writer. */
+/* mp_log_init() sets the role named in every line and installs the writer. */
 void mp_log_init(const char *role)
 {
 	log_role = role;
@@ -190,23 +192,23 @@
 }
 
 /*
- * mp_log_to_stdout() sends the lines to standard output from now on, with a
- * bound on their rate, and never waits for the reader.
+ * mp_log_to_stdout() switches to standard output, with a rate limit and
+ * without ever blocking on the reader.
  */
 void mp_log_to_stdout(void)
 {
 	to_stdout = true;
 }
 
-/* mp_log_critical_only() leaves out all but critical lines; tests use it. */
+/* mp_log_critical_only() omits all but critical lines, for tests. */
 void mp_log_critical_only(void)
 {
 	quiet = true;
 }
 
 /*
- * mp_event() logs event ev at the given level. The message is formatted
- * printf style; quotes in it are left as they are.
+ * mp_event() logs event ev with a printf-style message. Quotes in the message
+ * are not escaped.
  */
 void mp_event(enum mp_event ev, GLogLevelFlags level, const char *fmt, ...)
 {
--- a/common/event.h
+++ b/common/event.h
@@ -1,8 +1,8 @@
 /*
- * Numbered log events. Every log line the system writes carries an event
- * number from this list; docs/EVENTS.md catalogues them for operators.
- * Lines go through GLib's structured logging with the fields EVENT, ROLE
- * and MESSAGE, and are written one per line as key=value pairs.
+ * Structured logging. Every log line carries one of the event numbers below;
+ * docs/EVENTS.md describes them for operators. Messages go through GLib's
+ * structured logging with the fields EVENT, ROLE and MESSAGE, and are written
+ * one per line as key=value pairs.
  */
 #ifndef MP_COMMON_EVENT_H
 #define MP_COMMON_EVENT_H
@@ -88,7 +88,7 @@
 void mp_event(enum mp_event ev, GLogLevelFlags level, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
-/* mp_invariant() logs event 900 and aborts: an invariant never bends. */
+/* mp_invariant() logs event 900 and aborts if cond is false. */
 #define mp_invariant(cond, ...)                                             \
 	do {                                                                \
 		if (!(cond)) {                                              \
--- a/conf/build.c
+++ b/conf/build.c
@@ -6,34 +6,35 @@
 #include "core/policy.h"
 
 enum {
-	/* Targets are met by all but few; a call takes a third as a rule. */
+	/* A target leaves room for slow calls: most take a third of it. */
 	TARGET_WORK_FACTOR = 20,
 	TARGET_MIN_MS = 100,
-	ATTEMPTS = 3, /* servers a call may be sent to */
+	ATTEMPTS = 3, /* backend servers that a call may be sent to */
 };
 
-/* Path of the stand-ins' health and load question. */
+/* Health and load probe of the stand-in backend servers. */
 static const struct lstr health_path = {"/health", 7};
 
-/* Reads a positive number a value may hold for a service. */
+/* Reads the positive integer WHAT.SERVICE, or returns its default. */
 static uint32_t read_service_uint(const struct conf_values *v, const char *what,
-				  const char *service, uint32_t standard,
+				  const char *service, uint32_t fallback,
 				  struct findings *f)
 {
 	char *key = g_strdup_printf("%s.%s", what, service);
 	const char *s = conf_get(v, key);
 	char *end;
-	unsigned long n = s ? strtoul(s, &end, 10) : standard;
+	unsigned long n = s ? strtoul(s, &end, 10) : fallback;
 
 	if (s && (*s == '\0' || *end || n == 0 || n > UINT32_MAX)) {
 		findings_add(f, "config", 0, key,
-			     "'%s' is not a whole number from 1 on", s);
-		n = standard;
+			     "'%s' is not a positive integer", s);
+		n = fallback;
 	}
 	g_free(key);
 	return (uint32_t)n;
 }
 
+/* Returns the policy set for a service, for all services or by default. */
 static const struct place_policy *service_policy(const struct deploy *d,
 						 const struct conf_values *v,
 						 const char *service,
@@ -49,11 +50,12 @@
 		name = d->entry.policy;
 	p = place_policy_find(name);
 	if (!p)
-		findings_add(f, "config", 0, key, "'%s' is no policy", name);
+		findings_add(f, "config", 0, key, "unknown policy '%s'", name);
 	g_free(key);
 	return p;
 }
 
+/* Fills in service i and its route. */
 static void build_service(struct config *c, const struct deploy *d,
 			  const struct conf_values *v, size_t i,
 			  struct findings *f)
@@ -84,6 +86,7 @@
 	r->parts[0] = (struct route_part){s->name, 1};
 }
 
+/* Lists the backend servers with drain.SERVER = true. */
 static void build_drained(struct config *c, const struct conf_values *v)
 {
 	GHashTableIter it;
@@ -99,14 +102,14 @@
 	}
 }
 
-/* conf_build() returns the version, or NULL with findings. */
+/* conf_build() returns a configuration, or NULL after adding findings. */
 struct config *conf_build(const struct deploy *d, const struct conf_values *v,
 			  struct findings *f)
 {
 	struct config *c = config_new();
 	guint before = f->list->len;
 
-	/* Version 0 of the values is the settings' own: a usable version. */
+	/* Values version 0, without any patch, is a usable configuration. */
 	c->version = v->version + 1;
 	c->nservices = c->nroutes = d->services->len;
 	c->services =
@@ -122,7 +125,7 @@
 	return NULL;
 }
 
-/* conf_decode() is conf_build() from a record, or from none (empty). */
+/* conf_decode() is conf_build() from a stored record; empty: no patches. */
 struct config *conf_decode(void *deploy, struct lstr record, struct findings *f)
 {
 	struct conf_values v;
@@ -130,8 +133,7 @@
 
 	conf_init(&v);
 	if (record.len && conf_read(record, &v))
-		findings_add(f, "config", 0, NULL,
-			     "the record is no whole version");
+		findings_add(f, "config", 0, NULL, "malformed record");
 	else
 		c = conf_build(deploy, &v, f);
 	conf_clear(&v);
--- a/conf/build.h
+++ b/conf/build.h
@@ -1,8 +1,8 @@
 /*
- * Builds a configuration version from the deployment's settings and the
- * operators' patched values. Keys:
- *   policy, policy.SERVICE       how servers are chosen
- *   drain.SERVER = true          no new work to this server
+ * Builds a configuration version from the deployment's settings and the values
+ * that operators patched. Keys:
+ *   policy, policy.SERVICE       load-balancing policy
+ *   drain.SERVER = true          no new requests to this backend server
  *   timeout_ms.SERVICE, target_ms.SERVICE, attempts.SERVICE
  * A caller's request for a service goes to the route /v1/call/SERVICE/.
  */
@@ -13,7 +13,7 @@
 #include "core/config.h"
 #include "options/deploy.h"
 
-/* The host of the routes that the product's own interface uses. */
+/* Host and path prefix of the native API's routes. */
 #define CONF_NATIVE_HOST   "calls"
 #define CONF_NATIVE_PREFIX "/v1/call/"
 
--- a/conf/values.c
+++ b/conf/values.c
@@ -4,7 +4,7 @@
 #include "conf/values.h"
 #include "misc/codec.h"
 
-/* conf_init() makes version 0, which holds nothing. */
+/* conf_init() initializes version 0, which is empty. */
 void conf_init(struct conf_values *v)
 {
 	memset(v, 0, sizeof(*v));
@@ -25,7 +25,7 @@
 	return g_hash_table_lookup(v->values, key);
 }
 
-/* Every item must be KEY=VALUE with a key. */
+/* Returns whether every item is KEY=VALUE with a non-empty key. */
 static bool are_pairs_valid(char **set_kv)
 {
 	for (char **kv = set_kv; kv && *kv; kv++) {
@@ -38,9 +38,9 @@
 }
 
 /*
- * conf_apply() makes the next version of v by a patch: set_kv holds
- * "key=value" items, unset keys; either may be NULL. Returns -ESTALE and
- * changes nothing when base is not v's version, -EINVAL for a bad item.
+ * conf_apply() turns v into its next version: set_kv holds "key=value" items,
+ * unset holds keys to remove; either may be NULL. Returns 0, or without any
+ * change -ESTALE if base is not v's version and -EINVAL for a malformed item.
  */
 int conf_apply(struct conf_values *v, uint64_t base, const char *patch_id,
 	       char **set_kv, char **unset)
@@ -63,7 +63,7 @@
 	return 0;
 }
 
-/* conf_write() writes a version as a record: [version, patch id, {values}]. */
+/* conf_write() packs a version as a record: [version, patch id, {values}]. */
 void conf_write(const struct conf_values *v, struct buf *out)
 {
 	msgpack_packer pk;
@@ -82,6 +82,7 @@
 	}
 }
 
+/* Unpacks a map of strings; returns false for other types. */
 static bool unpack_pairs(const msgpack_object *map, GHashTable *values)
 {
 	for (uint32_t i = 0; i < map->via.map.size; i++) {
@@ -96,7 +97,8 @@
 	return true;
 }
 
-static bool read_fields(const msgpack_object *o, struct conf_values *v)
+/* Unpacks the fields of a record; returns false if it is malformed. */
+static bool unpack_fields(const msgpack_object *o, struct conf_values *v)
 {
 	const msgpack_object *f = o->via.array.ptr;
 	struct lstr id;
@@ -115,8 +117,8 @@
 }
 
 /*
- * conf_read() reads a record into v, which must be fresh. Returns 0, or
- * -EPROTO for what is no whole version.
+ * conf_read() unpacks a record into v, which must be newly initialized. Returns
+ * 0, or -EPROTO for a malformed or truncated record.
  */
 int conf_read(struct lstr record, struct conf_values *v)
 {
@@ -127,7 +129,7 @@
 	msgpack_unpacked_init(&u);
 	if (msgpack_unpack_next(&u, record.ptr, record.len, &off) ==
 		    MSGPACK_UNPACK_SUCCESS &&
-	    read_fields(&u.data, v))
+	    unpack_fields(&u.data, v))
 		rc = 0;
 	msgpack_unpacked_destroy(&u);
 	return rc;
--- a/conf/values.h
+++ b/conf/values.h
@@ -1,9 +1,9 @@
 /*
- * The product's own configuration: numbered versions of key = value pairs in
- * the platform's store, changed by small patches against the version last
- * seen. One record holds a whole version; a patch is written under the
- * condition that nothing was written since, so of two patches on one version
- * exactly one comes to be, and nothing is ever merged unseen.
+ * Configuration of a local deployment: numbered versions of key = value pairs
+ * in the platform's store. One record holds a whole version. Operators patch
+ * the version they last read, with an append that fails if anything was written
+ * since: of two concurrent patches exactly one succeeds, and patches are never
+ * merged silently.
  */
 #ifndef MP_CONF_VALUES_H
 #define MP_CONF_VALUES_H
@@ -15,15 +15,15 @@
 
 #include "misc/buf.h"
 
-/* Where versions stand in the store. */
+/* Store topic and key of the versions. */
 #define CONF_TOPIC "keyed.config"
 #define CONF_KEY   "values"
 
 enum { CONF_PATCH_ID_MAX = 64 };
 
 struct conf_values {
-	uint64_t version;		  /* 0: nothing was patched yet */
-	char patch_id[CONF_PATCH_ID_MAX]; /* of the patch that made it */
+	uint64_t version;		  /* 0: not patched yet */
+	char patch_id[CONF_PATCH_ID_MAX]; /* of the latest patch */
 	GHashTable *values;		  /* char * -> char * */
 };
 
--- a/http/client.c
+++ b/http/client.c
@@ -7,14 +7,15 @@
 #include "http/client.h"
 #include "http/socket.h"
 
-enum { READ_CHUNK_BYTES = 8192 }; /* bytes; most answers fit one read */
+enum { READ_CHUNK_BYTES = 8192 }; /* most responses fit into one read */
 
-static void set_timer(struct http_client *c, double after_s)
+/* Restarts the connection's timer; 0 stops it. */
+static void set_timer(struct http_client *c, double timeout_s)
 {
 	ev_timer_stop(c->loop, &c->timer);
-	if (after_s <= 0)
+	if (timeout_s <= 0)
 		return;
-	ev_timer_set(&c->timer, after_s, 0);
+	ev_timer_set(&c->timer, timeout_s, 0);
 	ev_timer_start(c->loop, &c->timer);
 }
 
@@ -27,7 +28,7 @@
 	ev_io_start(c->loop, &c->io);
 }
 
-/* http_client_close() ends the connection; the owner is not told. */
+/* http_client_close() closes the connection without calling ops->failed. */
 void http_client_close(struct http_client *c)
 {
 	if (c->state == CLIENT_CLOSED)
@@ -41,6 +42,7 @@
 	buf_free(&c->out);
 }
 
+/* Closes the connection and reports err to the owner. */
 static void fail(struct http_client *c, int err)
 {
 	bool sent = c->sent;
@@ -49,7 +51,7 @@
 	c->ops->failed(c->priv, err, sent);
 }
 
-/* Reads whole responses that nobody waits for out of n bytes at p. */
+/* Parses complete responses without a request from n bytes at p. */
 static void read_unsolicited(struct http_client *c, const char *p, size_t n)
 {
 	while (n) {
@@ -68,8 +70,8 @@
 }
 
 /*
- * Hands a finished response to the owner; false when it was not the one. The n bytes
- * at p came behind it.
+ * Passes a complete response to the owner; returns false if it belongs to
+ * another request. The n bytes at p were received after it.
  */
 static bool deliver(struct http_client *c, const char *p, size_t n)
 {
@@ -85,7 +87,7 @@
 		return false;
 	}
 	set_timer(c, 0);
-	/* An early answer leaves the rest of the request unsent. */
+	/* After an early response the rest of the request stays unsent. */
 	if (!m->keep_alive || c->out.len)
 		c->reusable = false;
 	c->waiting = false;
@@ -99,7 +101,7 @@
 	return true;
 }
 
-/* Reads responses out of n bytes at p. */
+/* Parses responses from n bytes at p. */
 static void read_responses(struct http_client *c, const char *p, size_t n)
 {
 	while (n) {
@@ -113,7 +115,7 @@
 		n -= (size_t)used;
 		if (!c->reader.msg->done)
 			return;
-		/* Bytes after an answer belong to no request. */
+		/* Bytes after a response belong to no request. */
 		if (n)
 			c->reusable = false;
 		if (deliver(c, p, n))
@@ -200,8 +202,8 @@
 }
 
 /*
- * http_client_open() begins a connection to sa. Returns 0 or -errno; the
- * owner hears of later failures through ops->failed.
+ * http_client_open() starts to connect to sa. Returns 0 or -errno; later
+ * failures are reported through ops->failed.
  */
 int http_client_open(struct http_client *c, struct ev_loop *loop,
 		     const struct sockaddr_in *sa, double connect_timeout_s,
@@ -231,9 +233,9 @@
 }
 
 /*
- * http_client_send() sends one request, now or once connected. The answer
- * or a failure comes through ops; timeout_s counts from the sending. The
- * connection must be idle or connecting with nothing queued.
+ * http_client_send() sends one request, now or once connected. The response
+ * or a failure is reported through ops; timeout_s starts when the request is
+ * sent. The connection must be idle, or connecting with nothing queued.
  */
 void http_client_send(struct http_client *c, struct lstr bytes,
 		      double timeout_s, bool head_request)
@@ -255,15 +257,15 @@
 			buf_consume(&c->out, (size_t)n);
 		}
 	}
-	/* What went wrong shows again on the next event, outside the caller. */
+	/* Errors are reported from the event loop, not to this caller. */
 	watch(c, c->out.len ? EV_READ | EV_WRITE : EV_READ);
 }
 
 /*
- * http_client_linger() closes the sending half of a connection that waits for a
- * response, so that the peer sees the request as given up, and reads on for what the
- * peer had sent before it saw that: until it closes too or timeout_s is over. Returns
- * false when there is nothing to wait for.
+ * http_client_linger() shuts down the sending half of a connection that awaits
+ * a response, so that the peer sees the request as canceled. It keeps reading
+ * what the peer sent before that, until the peer closes or timeout_s has
+ * passed. Returns false if there is nothing to wait for.
  */
 bool http_client_linger(struct http_client *c, double timeout_s)
 {
--- a/http/client.h
+++ b/http/client.h
@@ -1,7 +1,7 @@
 /*
- * One client connection on a libev loop, one request at a time. The owner
- * sees each response and says whether it is the one it waits for: a late or
- * repeated response on a kept connection belongs to nobody and is skipped.
+ * HTTP/1.1 client connection on a libev loop, for one request at a time. The
+ * owner decides for each response whether it matches the request: late or
+ * duplicate responses on a keep-alive connection are discarded.
  */
 #ifndef MP_HTTP_CLIENT_H
 #define MP_HTTP_CLIENT_H
@@ -14,27 +14,27 @@
 struct http_client;
 
 enum http_match {
-	HTTP_MATCHED,	/* the response is the awaited one */
-	HTTP_UNMATCHED, /* it answers something else; wait on */
+	HTTP_MATCHED,	/* the response to the current request */
+	HTTP_UNMATCHED, /* of another request; keep waiting */
 };
 
 struct http_client_ops {
-	/* Whose response is it? Called before `response`. */
+	/* Matches a response to the request; called before `response`. */
 	enum http_match (*match)(void *priv, const struct http_message *m);
-	/* The awaited response; m belongs to the callee. */
+	/* The response to the request; the callee owns m. */
 	void (*response)(void *priv, struct http_message *m);
 	/*
-	 * The connection ended (-errno), while a request waited or not; it
-	 * is closed already. `sent` tells whether any byte of the request
-	 * may have left.
+	 * The connection failed with -errno, with or without a pending
+	 * request, and is already closed. `sent`: some bytes of the request
+	 * may have been sent.
 	 */
 	void (*failed)(void *priv, int err, bool sent);
 	/*
-	 * Optional: called before the first byte of a request is sent. False cancels
-	 * it: `failed` gets -ECANCELED.
+	 * Optional: called before the first byte of a request is sent. If it
+	 * returns false, `failed` is called with -ECANCELED.
 	 */
 	bool (*may_send)(void *priv);
-	/* Optional: a whole response that no request waits for. */
+	/* Optional: a complete response without a pending request. */
 	void (*unsolicited)(void *priv, const struct http_message *m);
 };
 
@@ -57,8 +57,8 @@
 	struct buf out;
 	double connect_timeout_s, timeout_s;
 	bool waiting;  /* a request is queued or sent */
-	bool sent;     /* some of its bytes may have left */
-	bool reusable; /* nothing speaks against another request */
+	bool sent;     /* some of its bytes may have been sent */
+	bool reusable; /* may be used for another request */
 	unsigned served;
 };
 
--- a/http/conn.c
+++ b/http/conn.c
@@ -9,18 +9,17 @@
 #include "http/socket.h"
 
 enum {
-	READ_CHUNK_BYTES = 4096, /* bytes a read asks for */
-	PIPELINE_MAX_BYTES =
-		64 * 1024, /* bytes read ahead of a pending reply */
+	READ_CHUNK_BYTES = 4096,	/* per recv() */
+	PIPELINE_MAX_BYTES = 64 * 1024, /* buffered while a reply is pending */
 };
 
-/* A closed connection may still carry bytes to us for this long. */
+/* How long to wait for the peer to close after the last reply. */
 static const double LINGER_S = 1.0;
 
 static void conn_event(struct ev_loop *loop, ev_io *io, int revents);
 static void conn_input(struct http_conn *c);
 
-/* http_reason() names the status codes that an instance sends itself. */
+/* http_reason() returns the reason phrase of a status that instances send. */
 const char *http_reason(unsigned status)
 {
 	switch (status) {
@@ -47,19 +46,19 @@
 	}
 }
 
-/* http_conn_user() returns what http_conn_set_user() kept. */
+/* http_conn_user() returns the pointer set by http_conn_set_user(). */
 void *http_conn_user(const struct http_conn *c)
 {
 	return c->user;
 }
 
-/* http_conn_set_user() keeps the handler's own state with the connection. */
+/* http_conn_set_user() attaches the handler's state to the connection. */
 void http_conn_set_user(struct http_conn *c, void *user)
 {
 	c->user = user;
 }
 
-/* http_conn_free() closes a connection and forgets it. */
+/* http_conn_free() closes and frees a connection. */
 void http_conn_free(struct http_conn *c)
 {
 	struct http_server *s = c->server;
@@ -81,15 +80,15 @@
 }
 
 /*
- * http_conn_abort() closes a connection at once, without an answer. The
- * handler is not told.
+ * http_conn_abort() closes a connection without a reply and without calling
+ * ops->closed.
  */
 void http_conn_abort(struct http_conn *c)
 {
 	http_conn_free(c);
 }
 
-/* The caller is gone: tells the handler if it has the request. */
+/* Notifies the handler if it has a pending request, and frees c. */
 static void conn_closed_by_peer(struct http_conn *c)
 {
 	if (c->state == CONN_HANDLING && c->server->ops->closed)
@@ -97,6 +96,7 @@
 	http_conn_free(c);
 }
 
+/* Sets the events that the socket is watched for; 0: none. */
 static void watch(struct http_conn *c, int events)
 {
 	if (c->io.events == events && ev_is_active(&c->io))
@@ -107,16 +107,17 @@
 		ev_io_start(c->server->loop, &c->io);
 }
 
-static void set_timer(struct http_conn *c, double after_s)
+/* Restarts the connection's timer; 0 stops it. */
+static void set_timer(struct http_conn *c, double timeout_s)
 {
 	ev_timer_stop(c->server->loop, &c->timer);
-	if (after_s <= 0)
+	if (timeout_s <= 0)
 		return;
-	ev_timer_set(&c->timer, after_s, 0);
+	ev_timer_set(&c->timer, timeout_s, 0);
 	ev_timer_start(c->server->loop, &c->timer);
 }
 
-/* Waits for the next request on a kept connection. */
+/* Waits for the next request; starts at once with bytes already read. */
 static void conn_idle(struct http_conn *c)
 {
 	c->state = CONN_IDLE;
@@ -133,9 +134,9 @@
 }
 
 /*
- * Everything is written. A connection with unread bytes is reset by close(),
- * which would take the answer with it; so only the sending half is closed
- * until the peer has closed too or LINGER_S passed.
+ * The reply is sent. close() would reset a connection with unread bytes, and
+ * the peer might lose the reply; so only the sending half is shut down until
+ * the peer closes or LINGER_S has passed.
  */
 static void conn_written(struct http_conn *c)
 {
@@ -153,6 +154,7 @@
 	set_timer(c, LINGER_S);
 }
 
+/* Sends as much pending output as the socket accepts. */
 static void conn_write(struct http_conn *c)
 {
 	ssize_t n = send(c->fd, c->out.ptr, c->out.len, MSG_NOSIGNAL);
@@ -173,8 +175,8 @@
 }
 
 /*
- * http_conn_reply() answers the request at hand. The connection is kept
- * unless the caller, the reply or the server's state asks to close it.
+ * http_conn_reply() replies to the current request. The connection is kept
+ * open unless the caller, the reply or the server requires closing it.
  */
 void http_conn_reply(struct http_conn *c, const struct http_reply *r)
 {
@@ -193,8 +195,8 @@
 }
 
 /*
- * http_conn_reply_raw() answers the request at hand with bytes that the
- * caller made, be they a message or not: stand-ins misbehave with it.
+ * http_conn_reply_raw() replies to the current request with arbitrary bytes,
+ * which need not be valid HTTP. The stand-ins inject faults with it.
  */
 void http_conn_reply_raw(struct http_conn *c, struct lstr bytes, bool close)
 {
@@ -204,7 +206,7 @@
 	conn_write(c);
 }
 
-/* Refuses bytes that are no acceptable request and closes. */
+/* Replies to an invalid request and closes the connection. */
 static void conn_reject(struct http_conn *c, unsigned status)
 {
 	c->keep_alive = false;
@@ -213,6 +215,7 @@
 			&(struct http_reply){.status = status, .close = true});
 }
 
+/* Maps a reader's error to the status of the reply. */
 static unsigned status_from_error(ssize_t err)
 {
 	if (err == -EFBIG)
@@ -222,7 +225,7 @@
 	return 400;
 }
 
-/* A request is whole: hands it over. */
+/* Passes a complete request to the handler. */
 static void conn_dispatch(struct http_conn *c)
 {
 	struct http_message *m = http_reader_take(&c->reader);
@@ -237,7 +240,7 @@
 	c->server->ops->request(c->server->priv, c, m);
 }
 
-/* Callers that wait for leave to send their body get it. */
+/* Sends 100 Continue if the request expects it. */
 static void send_continue(struct http_conn *c)
 {
 	struct lstr e = http_find_header(c->reader.msg, LSTR("expect"));
@@ -248,7 +251,7 @@
 			    MSG_NOSIGNAL);
 }
 
-/* Feeds n bytes of the input; false when the connection was answered. */
+/* Parses n bytes of input; returns false if the request was rejected. */
 static bool feed(struct http_conn *c, size_t n)
 {
 	ssize_t used = http_reader_feed(&c->reader, c->in.ptr, n);
@@ -261,7 +264,7 @@
 	return true;
 }
 
-/* Looks for a whole, proper head; true when it went to the reader. */
+/* Parses the head if it is complete and valid; returns whether it was. */
 static bool read_head(struct http_conn *c)
 {
 	size_t max = c->server->limits.head_max;
@@ -290,11 +293,11 @@
 	return true;
 }
 
-/* Goes on with what has been read. */
+/* Processes the input received so far. */
 static void conn_input(struct http_conn *c)
 {
 	if (c->state == CONN_IDLE) {
-		/* Blank lines before a request are skipped (RFC 9112, 2.2). */
+		/* Empty lines before a request are ignored (RFC 9112, 2.2). */
 		while (c->in.len >= 2 && !memcmp(c->in.ptr, "\r\n", 2))
 			buf_consume(&c->in, 2);
 		if (c->in.len == 0)
@@ -313,6 +316,7 @@
 		conn_dispatch(c);
 }
 
+/* Reads from the socket, up to PIPELINE_MAX_BYTES ahead of a reply. */
 static void conn_read(struct http_conn *c)
 {
 	if (c->state == CONN_HANDLING && c->in.len >= PIPELINE_MAX_BYTES) {
@@ -355,7 +359,7 @@
 		conn_closed_by_peer(c);
 }
 
-/* http_conn_new() takes an accepted socket into the server. */
+/* http_conn_new() adds an accepted socket to the server. */
 void http_conn_new(struct http_server *s, int fd)
 {
 	struct http_conn *c = calloc(1, sizeof(*c));
--- a/http/conn.h
+++ b/http/conn.h
@@ -1,15 +1,15 @@
-/* A connection of http/server.h from the inside: http/ alone includes this. */
+/* Connections of http/server.h; private to http/. */
 #ifndef MP_HTTP_CONN_H
 #define MP_HTTP_CONN_H
 
 #include "http/server.h"
 
 enum conn_state {
-	CONN_IDLE,     /* no byte of a request yet */
-	CONN_READING,  /* a request has begun */
-	CONN_HANDLING, /* a request waits for its reply */
-	CONN_WRITING,  /* a reply is being written */
-	CONN_LINGER,   /* all written; waits for the peer's close */
+	CONN_IDLE,     /* waiting for a request */
+	CONN_READING,  /* receiving a request */
+	CONN_HANDLING, /* the handler has the request */
+	CONN_WRITING,  /* sending a reply */
+	CONN_LINGER,   /* reply sent; waiting for the peer to close */
 };
 
 struct http_conn {
@@ -23,8 +23,8 @@
 	enum conn_state state;
 	struct http_reader reader;
 	struct buf in, out;
-	size_t scanned; /* bytes of `in` looked at for the head's end */
-	bool in_body;	/* the head went to the reader */
+	size_t scanned; /* bytes of `in` searched for the end of the head */
+	bool in_body;	/* the head has been parsed */
 	bool keep_alive, head_request, close_after, peer_done;
 	void *user;
 };
--- a/http/head.c
+++ b/http/head.c
@@ -7,10 +7,10 @@
 #include "misc/lstr.h"
 
 /*
- * head_find_end() looks for the empty line that ends a head in n bytes at p,
- * of which the first `from` were looked at before. Returns the length of the
- * head with its empty line, 0 when more bytes are needed, or -EPROTO on a
- * line feed without its carriage return.
+ * head_find_end() searches the n bytes at p for the empty line that ends a
+ * head, starting at offset `from`. Returns the length of the head including
+ * the empty line, 0 if it is incomplete, or -EPROTO for a line feed without
+ * a carriage return.
  */
 ptrdiff_t head_find_end(const char *p, size_t n, size_t from)
 {
@@ -26,7 +26,7 @@
 	return 0;
 }
 
-/* Tells whether c may stand in a header name (RFC 9110 token). */
+/* Returns whether c is allowed in a header name (RFC 9110 token). */
 static bool is_token_char(unsigned char c)
 {
 	if (c >= '0' && c <= '9')
@@ -36,7 +36,7 @@
 	return c && strchr("!#$%&'*+-.^_`|~", c);
 }
 
-/* Headers that change where a message ends or whom it is for. */
+/* Headers that determine a message's framing or its destination. */
 static const struct lstr unique_headers[] = {
 	{"content-length", 14},
 	{"transfer-encoding", 17},
@@ -45,7 +45,7 @@
 
 enum { UNIQUE_HEADERS = sizeof(unique_headers) / sizeof(unique_headers[0]) };
 
-/* Checks one header line without its line end; counts the single ones. */
+/* Checks a header line without its CRLF; rejects repeated unique headers. */
 static int check_line(const char *p, size_t n, unsigned *seen)
 {
 	size_t name = 0;
@@ -71,11 +71,11 @@
 }
 
 /*
- * head_check() refuses what readers are known to take differently: a folded
- * or nameless header line, a blank before the colon, control bytes, a second
- * Host, Content-Length or Transfer-Encoding, and a length beside a transfer
- * encoding. p and n are a head as head_find_end() delimits it. Returns 0 or
- * -EPROTO.
+ * head_check() rejects syntax that HTTP implementations interpret differently:
+ * folded header lines, empty header names, whitespace before the colon, control
+ * characters, a repeated Host, Content-Length or Transfer-Encoding, and
+ * Content-Length together with Transfer-Encoding. The n bytes at p are a head
+ * as delimited by head_find_end(). Returns 0 or -EPROTO.
  */
 int head_check(const char *p, size_t n)
 {
--- a/http/head.h
+++ b/http/head.h
@@ -1,8 +1,8 @@
 /*
- * Strictness checks on the raw head of an HTTP/1.1 request. The parser
- * library (http-parser as Debian builds it) accepts bare line feeds and
- * blanks before a colon; two programs that read such a head differently can
- * be made to see two different requests, so an entry refuses it.
+ * Strict validation of the raw head of an HTTP/1.1 request, against request
+ * smuggling. The parser library (http-parser as built by Debian) accepts bare
+ * line feeds and whitespace before a colon, which a backend server may parse as
+ * a different request; an entry instance rejects them.
  */
 #ifndef MP_HTTP_HEAD_H
 #define MP_HTTP_HEAD_H
--- a/http/message.c
+++ b/http/message.c
@@ -6,13 +6,13 @@
 
 #include "http/message.h"
 
-/* lstr_eq_nocase() compares two strings, letters in either case. */
+/* lstr_eq_nocase() compares two strings, ignoring ASCII case. */
 bool lstr_eq_nocase(struct lstr a, struct lstr b)
 {
 	return a.len == b.len && !strncasecmp(a.ptr, b.ptr, a.len);
 }
 
-/* Moves the header line that was read into the message. */
+/* Adds the header line that was read, if any, to the message. */
 static void finish_header(struct http_reader *r)
 {
 	struct http_message *m = r->msg;
@@ -38,7 +38,7 @@
 	r->value.len = 0;
 }
 
-/* Counts head bytes against the limit; trailers after a body are dropped. */
+/* Appends head bytes to b within the limit; trailers are ignored. */
 static int add_head_bytes(struct http_reader *r, struct buf *b, const char *p,
 			  size_t n)
 {
@@ -128,7 +128,7 @@
 	.on_message_complete = on_complete,
 };
 
-/* http_reader_init() makes a reader for requests or responses. */
+/* http_reader_init() initializes a reader for requests or responses. */
 void http_reader_init(struct http_reader *r, enum http_parser_type type,
 		      struct http_limits limits)
 {
@@ -139,10 +139,10 @@
 }
 
 /*
- * http_reader_feed() reads up to n bytes of one message. It stops at the end
- * of the message (msg->done), so that what follows stays with the caller.
- * Returns how many bytes were taken, -EMSGSIZE or -EFBIG when a head or body
- * is over its limit, -EPROTO when the bytes are no message.
+ * http_reader_feed() parses up to n bytes of one message. It stops at the end
+ * of the message (msg->done) and leaves the bytes that follow to the caller.
+ * Returns the number of bytes consumed, -EMSGSIZE or -EFBIG if the head or body
+ * exceeds its limit, or -EPROTO for malformed input.
  */
 ssize_t http_reader_feed(struct http_reader *r, const char *p, size_t n)
 {
@@ -160,8 +160,8 @@
 }
 
 /*
- * http_reader_eof() tells the reader that the peer closed in order. Returns
- * 0 when that ends the message (a response without a length), else -EPROTO.
+ * http_reader_eof() reports an orderly close by the peer. Returns 0 if that
+ * ends the message (a response without a length), -EPROTO otherwise.
  */
 int http_reader_eof(struct http_reader *r)
 {
@@ -172,8 +172,8 @@
 }
 
 /*
- * http_reader_take() hands over the finished message and makes the reader
- * ready for the next one.
+ * http_reader_take() returns the complete message, which the caller owns, and
+ * resets the reader for the next one.
  */
 struct http_message *http_reader_take(struct http_reader *r)
 {
@@ -188,7 +188,7 @@
 	return m;
 }
 
-/* http_reader_free() drops a message read in part and the buffers. */
+/* http_reader_free() frees the buffers and a partially read message. */
 void http_reader_free(struct http_reader *r)
 {
 	http_message_free(r->msg);
@@ -198,7 +198,7 @@
 	buf_free(&r->target);
 }
 
-/* http_message_free() releases a message; NULL is fine. */
+/* http_message_free() frees a message; m may be NULL. */
 void http_message_free(struct http_message *m)
 {
 	if (!m)
@@ -208,7 +208,10 @@
 	free(m);
 }
 
-/* http_find_header() returns the value of the first header so named, or {NULL, 0}. */
+/*
+ * http_find_header() returns the value of the first header of that name, or
+ * {NULL, 0}.
+ */
 struct lstr http_find_header(const struct http_message *m, struct lstr name)
 {
 	for (size_t i = 0; i < m->nheaders; i++) {
@@ -218,7 +221,7 @@
 	return (struct lstr){NULL, 0};
 }
 
-/* Tells whether name is one of the comma-separated tokens of list. */
+/* Returns whether name is one of the comma-separated tokens of list. */
 static bool list_has_token(struct lstr list, struct lstr name)
 {
 	const char *p = list.ptr, *end = p + list.len;
@@ -238,9 +241,9 @@
 }
 
 /*
- * http_is_hop_by_hop() tells whether a header of m concerns only the
- * connection it came on (RFC 9110, 7.6.1) or frames the message, which the
- * sender of the next hop does anew.
+ * http_is_hop_by_hop() returns whether a header of m must not be forwarded: it
+ * applies to a single connection (RFC 9110, 7.6.1) or to the message framing,
+ * which each sender sets itself.
  */
 bool http_is_hop_by_hop(const struct http_message *m, struct lstr name)
 {
--- a/http/message.h
+++ b/http/message.h
@@ -1,7 +1,7 @@
 /*
- * One HTTP/1.1 message, read whole through the http-parser library. A
- * message owns an arena for its head and a buffer for its body; a message
- * that ended early never counts as done.
+ * HTTP/1.1 messages, read completely with the http-parser library. A message
+ * owns an arena for its head and a buffer for its body. A truncated message is
+ * never marked as done.
  */
 #ifndef MP_HTTP_MESSAGE_H
 #define MP_HTTP_MESSAGE_H
@@ -42,7 +42,7 @@
 	struct buf target;
 	size_t head_bytes; /* of names, values and the target so far */
 	bool in_value;
-	bool no_body; /* answer to a HEAD request */
+	bool no_body; /* response to a HEAD request */
 	int err;
 };
 
--- a/http/server.c
+++ b/http/server.c
@@ -5,17 +5,16 @@
 #include "http/conn.h"
 #include "http/socket.h"
 
-/* So that open requests get their turn between new connections. */
+/* Limited per event, so that new connections don't starve open requests. */
 enum { ACCEPT_BATCH_MAX = 16 };
 
 /*
- * A caller that has just connected is about to send; a stop waits this long
- * for its first request. It travels 8 ms, and a lost packet is sent again
- * after 200 ms.
+ * A shutdown waits this long for the first request of a new connection. It
+ * covers one retransmission (200 ms) of a request that travels 8 ms.
  */
 static const double FIRST_REQUEST_GRACE_S = 0.2;
 
-/* Takes one connection off the queue; false when there is none. */
+/* Accepts one connection; returns false if none is pending. */
 static bool accept_one(struct http_server *s)
 {
 	int fd =
@@ -36,8 +35,8 @@
 }
 
 /*
- * http_server_open() listens on "a.b.c.d:port". The caller sets the limits
- * and timeouts of s first. Returns 0 or a negative errno.
+ * http_server_open() listens on "a.b.c.d:port". The limits and timeouts of s
+ * must be set before. Returns 0 or a negative errno.
  */
 int http_server_open(struct http_server *s, struct ev_loop *loop,
 		     const char *addr, const struct http_server_ops *ops,
@@ -57,9 +56,9 @@
 }
 
 /*
- * http_server_stop_listening() closes the listening socket, if open. Whoever
- * is connected by then is still served: closing it would reset those that
- * wait in its queue, with requests that they may have sent.
+ * http_server_stop_listening() closes the listening socket, if open. Pending
+ * connections are accepted first, since closing the socket would reset them
+ * and lose requests that were already sent.
  */
 void http_server_stop_listening(struct http_server *s)
 {
@@ -71,7 +70,7 @@
 	close(s->accept.fd);
 }
 
-/* Tells whether a connection's first request may be on its way. */
+/* Returns whether a new connection's first request may be in transit. */
 static bool is_awaiting_first_request(const struct http_conn *c)
 {
 	return !c->had_request &&
@@ -79,8 +78,8 @@
 }
 
 /*
- * http_server_close_idle() closes every connection without a request, but
- * for those that have only just been opened.
+ * http_server_close_idle() closes idle connections, except new ones whose first
+ * request may be in transit.
  */
 void http_server_close_idle(struct http_server *s)
 {
@@ -91,7 +90,7 @@
 	}
 }
 
-/* http_server_busy() tells whether any request or reply is unfinished. */
+/* http_server_busy() returns whether any request or reply is unfinished. */
 bool http_server_busy(const struct http_server *s)
 {
 	for (const struct http_conn *c = s->conns; c; c = c->next) {
@@ -103,7 +102,7 @@
 	return false;
 }
 
-/* http_server_close() ends all connections; handlers are not told. */
+/* http_server_close() closes all connections without calling ops->closed. */
 void http_server_close(struct http_server *s)
 {
 	http_server_stop_listening(s);
--- a/http/server.h
+++ b/http/server.h
@@ -1,8 +1,8 @@
 /*
- * An HTTP/1.1 server on a libev loop: listens, reads whole requests, hands
- * them to a callback and writes the reply. One request at a time on a
- * connection; while one is being handled the socket is still watched, so
- * that a caller who leaves is noticed at once.
+ * HTTP/1.1 server on a libev loop: reads complete requests, passes them to a
+ * callback and writes the replies. Each connection handles one request at a
+ * time; its socket is watched meanwhile, so that a caller's disconnect is
+ * detected immediately.
  */
 #ifndef MP_HTTP_SERVER_H
 #define MP_HTTP_SERVER_H
@@ -14,10 +14,12 @@
 struct http_conn;
 
 struct http_server_ops {
-	/* A whole request; m belongs to the callee. Reply now or later. */
+	/*
+	 * A complete request; the callee owns m and replies now or later.
+	 */
 	void (*request)(void *priv, struct http_conn *c,
 			struct http_message *m);
-	/* The caller left before the reply; do not use c afterwards. */
+	/* The caller disconnected before the reply; c is freed afterwards. */
 	void (*closed)(void *priv, struct http_conn *c);
 };
 
@@ -26,9 +28,9 @@
 	const struct http_server_ops *ops;
 	void *priv;
 	struct http_limits limits;
-	double head_timeout_s;	 /* first byte of a request to its last */
-	double idle_timeout_s;	 /* a kept connection without a request */
-	bool disable_keep_alive; /* each answer closes its connection */
+	double head_timeout_s;	 /* to receive a whole request */
+	double idle_timeout_s;	 /* of a keep-alive connection */
+	bool disable_keep_alive; /* every reply closes its connection */
 	ev_io accept;
 	struct http_conn *conns;
 	unsigned nconns;
@@ -36,7 +38,7 @@
 
 struct http_reply {
 	unsigned status;
-	struct lstr headers; /* whole lines, each with its CRLF */
+	struct lstr headers; /* complete lines, each with its CRLF */
 	struct lstr body;
 	bool close;
 };
--- a/http/socket.c
+++ b/http/socket.c
@@ -8,7 +8,10 @@
 #include "http/socket.h"
 #include "options/settings.h"
 
-/* Callers reconnect in crowds after a fault; none is to wait for a resend. */
+/*
+ * Large enough for all callers to reconnect at once after a fault without a SYN
+ * being dropped and retransmitted.
+ */
 enum { LISTEN_BACKLOG = 1024 };
 
 /* socket_addr() parses "a.b.c.d:port". Returns 0 or -EINVAL. */
@@ -25,7 +28,7 @@
 	return inet_pton(AF_INET, host, &sa->sin_addr) == 1 ? 0 : -EINVAL;
 }
 
-/* socket_listen() opens a listening socket. Returns it or -errno. */
+/* socket_listen() opens a listening socket. Returns its fd or -errno. */
 int socket_listen(const char *addr)
 {
 	struct sockaddr_in sa;
@@ -47,7 +50,7 @@
 	return fd;
 }
 
-/* socket_connect() begins a connection. Returns its descriptor or -errno. */
+/* socket_connect() starts to connect. Returns the fd or -errno. */
 int socket_connect(const struct sockaddr_in *sa)
 {
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -65,7 +68,7 @@
 	return fd;
 }
 
-/* socket_error() fetches the outcome of a connection attempt as -errno. */
+/* socket_error() returns the result of a connection attempt: 0 or -errno. */
 int socket_error(int fd)
 {
 	int err = 0;
@@ -76,7 +79,7 @@
 	return -err;
 }
 
-/* socket_set_nodelay() sends small messages at once. */
+/* socket_set_nodelay() disables Nagle's algorithm. */
 void socket_set_nodelay(int fd)
 {
 	int one = 1;
@@ -85,19 +88,19 @@
 }
 
 /*
- * socket_set_keepalive() makes a connection fail after about after_s + 2
- * seconds without any sign of the peer, by keep-alive probes while nothing
- * is sent and a time limit on sent bytes. A connection whose path lost track
- * of it stays open for ever otherwise.
+ * socket_set_keepalive() makes a connection fail after about timeout_s + 2
+ * seconds without a packet from the peer, through keep-alive probes while idle
+ * and a timeout for unacknowledged data. Otherwise a connection whose state a
+ * middlebox has dropped would stay open for ever.
  */
-void socket_set_keepalive(int fd, int after_s)
+void socket_set_keepalive(int fd, int timeout_s)
 {
-	int one = 1, tries = 2, limit_ms = after_s * 1000;
+	int one = 1, tries = 2, timeout_ms = timeout_s * 1000;
 
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &tries, sizeof(tries));
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit_ms,
-		   sizeof(limit_ms));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
+		   sizeof(timeout_ms));
 }
--- a/http/socket.h
+++ b/http/socket.h
@@ -1,4 +1,4 @@
-/* Non-blocking IPv4 sockets and the options every connection gets. */
+/* Non-blocking IPv4 sockets. */
 #ifndef MP_HTTP_SOCKET_H
 #define MP_HTTP_SOCKET_H
 
@@ -9,6 +9,6 @@
 int socket_connect(const struct sockaddr_in *sa);
 int socket_error(int fd);
 void socket_set_nodelay(int fd);
-void socket_set_keepalive(int fd, int after_s);
+void socket_set_keepalive(int fd, int timeout_s);
 
 #endif
--- a/misc/arena.c
+++ b/misc/arena.c
@@ -11,13 +11,13 @@
 	struct arena_block *next;
 	size_t used;
 	size_t size;
-	_Alignas(16) unsigned char data[]; /* malloc gives 16, keep it */
+	_Alignas(16) unsigned char data[]; /* as malloc aligns */
 };
 
 /*
  * arena_alloc() returns size bytes aligned to 16, zeroed, valid until
- * arena_free(). A request larger than a block gets a block of its own.
- * Allocation failure aborts: a request cannot run half-allocated.
+ * arena_free(). An allocation larger than a block gets its own block. Aborts
+ * when out of memory, since callers have no way to continue.
  */
 void *arena_alloc(struct arena *a, size_t size)
 {
@@ -76,7 +76,7 @@
 	return p;
 }
 
-/* arena_free() releases every block; the arena may be used again after. */
+/* arena_free() releases every block; the arena may be reused. */
 void arena_free(struct arena *a)
 {
 	struct arena_block *b = a->head;
--- a/misc/arena.h
+++ b/misc/arena.h
@@ -1,7 +1,7 @@
 /*
- * Arenas: bump allocation for everything that lives as long as one request
- * (or one fold of the log). Nothing is freed singly; arena_free() releases
- * the whole arena at once, which is the only clean-up a request needs.
+ * Arena allocator: bump allocation for objects of the same lifetime, such as
+ * everything that belongs to one message or one configuration version. Single
+ * objects aren't freed; arena_free() releases the whole arena.
  */
 #ifndef MP_MISC_ARENA_H
 #define MP_MISC_ARENA_H
--- a/misc/buf.c
+++ b/misc/buf.c
@@ -5,12 +5,12 @@
 
 #include "misc/buf.h"
 
-/* The first allocation in bytes; most heads fit into it. */
+/* Most message heads fit into the initial allocation. */
 enum { BUF_INITIAL_BYTES = 512 };
 
 /*
- * buf_reserve() makes sure that n more bytes fit and returns where they go;
- * the caller adds to len what it wrote. Allocation failure aborts.
+ * buf_reserve() makes room for n more bytes and returns a pointer to it; the
+ * caller adds to len what it wrote. Aborts when out of memory.
  */
 char *buf_reserve(struct buf *b, size_t n)
 {
@@ -58,7 +58,7 @@
 	b->len += (size_t)n;
 }
 
-/* buf_consume() drops the first n bytes. */
+/* buf_consume() removes the first n bytes. */
 void buf_consume(struct buf *b, size_t n)
 {
 	if (n >= b->len) {
@@ -69,7 +69,7 @@
 	b->len -= n;
 }
 
-/* buf_free() gives the memory back; the buffer may be used again. */
+/* buf_free() releases the memory; the buffer may be reused. */
 void buf_free(struct buf *b)
 {
 	free(b->ptr);
--- a/misc/buf.h
+++ b/misc/buf.h
@@ -1,7 +1,7 @@
 /*
- * Growable byte buffers for socket input and output. A buffer owns its
- * memory; buf_free() gives it back, which idle connections do so that a
- * kept connection costs no more than its struct.
+ * Growable byte buffers for socket input and output. A buffer owns its memory.
+ * Idle connections call buf_free(), so that a keep-alive connection holds no
+ * buffer memory.
  */
 #ifndef MP_MISC_BUF_H
 #define MP_MISC_BUF_H
@@ -23,7 +23,7 @@
 void buf_consume(struct buf *b, size_t n);
 void buf_free(struct buf *b);
 
-/* buf_lstr() views the whole content. */
+/* buf_lstr() returns the content as a string that borrows the memory. */
 static inline struct lstr buf_lstr(const struct buf *b)
 {
 	return (struct lstr){b->ptr ? b->ptr : "", b->len};
--- a/misc/clock.h
+++ b/misc/clock.h
@@ -1,4 +1,4 @@
-/* Monotonic clock readings, for deadlines and intervals. */
+/* Monotonic clocks for deadlines and intervals. */
 #ifndef MP_MISC_CLOCK_H
 #define MP_MISC_CLOCK_H
 
@@ -21,8 +21,8 @@
 }
 
 /*
- * clock_boot_ms() returns milliseconds of CLOCK_BOOTTIME, which goes on while
- * the machine is suspended: for what the whole system counts in windows.
+ * clock_boot_ms() returns milliseconds of CLOCK_BOOTTIME, which also counts
+ * time in suspend, for time windows shared by all instances.
  */
 static inline int64_t clock_boot_ms(void)
 {
--- a/misc/codec.c
+++ b/misc/codec.c
@@ -3,10 +3,10 @@
 
 #include "misc/codec.h"
 
-/* Up to here a floating-point number holds every whole number. */
+/* 2^53: a double represents every integer up to here. */
 static const double DOUBLE_EXACT_INT_MAX = 9007199254740992.0;
 
-/* codec_str() views a string or binary value; {NULL, 0} for others. */
+/* codec_str() borrows a string or binary value; {NULL, 0} for other types. */
 struct lstr codec_str(const msgpack_object *o)
 {
 	if (o && o->type == MSGPACK_OBJECT_STR)
@@ -16,7 +16,7 @@
 	return (struct lstr){NULL, 0};
 }
 
-/* codec_get() finds a member of a map; NULL when there is none. */
+/* codec_get() returns a member of a map, or NULL. */
 const msgpack_object *codec_get(const msgpack_object *map, const char *name)
 {
 	if (!map || map->type != MSGPACK_OBJECT_MAP)
@@ -30,7 +30,7 @@
 	return NULL;
 }
 
-/* codec_get_lstr() reads a text member. Returns whether it was there. */
+/* codec_get_lstr() reads a string member. Returns whether it is present. */
 bool codec_get_lstr(const msgpack_object *map, const char *name,
 		    struct lstr *out)
 {
@@ -42,7 +42,7 @@
 	return true;
 }
 
-/* codec_get_uint() reads a whole number that isn't negative. */
+/* codec_get_uint() reads a non-negative integer member. */
 bool codec_get_uint(const msgpack_object *map, const char *name, uint64_t *out)
 {
 	const msgpack_object *o = codec_get(map, name);
@@ -63,20 +63,20 @@
 	return false;
 }
 
-/* codec_buf_write() lets a packer write into a struct buf. */
+/* codec_buf_write() is the msgpack_packer callback for a struct buf. */
 int codec_buf_write(void *buf, const char *p, size_t n)
 {
 	buf_add(buf, p, n);
 	return 0;
 }
 
-/* codec_pack_lstr() writes a string. */
+/* codec_pack_lstr() packs a string. */
 void codec_pack_lstr(msgpack_packer *pk, struct lstr s)
 {
 	msgpack_pack_str_with_body(pk, s.ptr, s.len);
 }
 
-/* codec_pack_cstr() writes a NUL-terminated string. */
+/* codec_pack_cstr() packs a NUL-terminated string. */
 void codec_pack_cstr(msgpack_packer *pk, const char *s)
 {
 	codec_pack_lstr(pk, lstr0(s));
--- a/misc/codec.h
+++ b/misc/codec.h
@@ -1,7 +1,7 @@
 /*
- * msgpack values by libmsgpack-c, for the platform's bodies, our records and
- * the datagrams between instances. Lookups in maps are by name; a value of
- * another type than asked for counts as absent.
+ * Helpers around msgpack-c for the platform's message bodies, stored records
+ * and the datagrams between instances. Map members are looked up by name; a
+ * value of an unexpected type is treated as absent.
  */
 #ifndef MP_MISC_CODEC_H
 #define MP_MISC_CODEC_H
--- a/misc/findings.c
+++ b/misc/findings.c
@@ -14,15 +14,15 @@
 	g_free(fd);
 }
 
-/* findings_init() prepares an empty list. */
+/* findings_init() creates an empty list. */
 void findings_init(struct findings *f)
 {
 	f->list = g_ptr_array_new_with_free_func(finding_free);
 }
 
 /*
- * findings_add() records one problem. line is 0 when the place has no line
- * (a key that is missing altogether); key may be NULL for a whole file.
+ * findings_add() records one error. line is 0 when there is none, as for a
+ * missing key; key is NULL for errors of a whole file or section.
  */
 void findings_add(struct findings *f, const char *file, int line,
 		  const char *key, const char *fmt, ...)
@@ -40,8 +40,8 @@
 }
 
 /*
- * findings_report() logs every finding as event 111 and a summary as event
- * 110. Returns 0 when there are none, -EINVAL otherwise.
+ * findings_report() logs every finding as event 111 and their number as event
+ * 110. Returns 0 if there are none, -EINVAL otherwise.
  */
 int findings_report(const struct findings *f)
 {
--- a/misc/findings.h
+++ b/misc/findings.h
@@ -1,7 +1,7 @@
 /*
- * Findings: problems collected with their place (file, line, key) and
- * reported together, so that an operator sees every mistake of a settings
- * file in one go instead of one per restart.
+ * Findings: validation errors collected with their location (file, line, key)
+ * and reported together, so that an operator sees every error of a settings
+ * file at once.
  */
 #ifndef MP_MISC_FINDINGS_H
 #define MP_MISC_FINDINGS_H
--- a/misc/hist.c
+++ b/misc/hist.c
@@ -3,9 +3,9 @@
 #include "misc/hist.h"
 
 /*
- * hist_bucket_index() maps a value to its bucket: values below HIST_SUB each
- * have their own bucket, larger ones are placed by their top bit and the
- * HIST_SUB_BITS bits below it. Values past the range land in the last one.
+ * hist_bucket_index() maps a value to its bucket: each value below HIST_SUB has
+ * its own bucket, larger ones are indexed by their top bit and the
+ * HIST_SUB_BITS bits below it. Values out of range go to the last bucket.
  */
 unsigned hist_bucket_index(uint64_t us)
 {
@@ -19,7 +19,7 @@
 	return b < HIST_BUCKETS ? b : HIST_BUCKETS - 1;
 }
 
-/* hist_bucket_max_us() gives the largest value (us) that falls in bucket b. */
+/* hist_bucket_max_us() returns the largest value of bucket b. */
 uint64_t hist_bucket_max_us(unsigned b)
 {
 	if (b < HIST_SUB)
@@ -30,7 +30,7 @@
 	return (((uint64_t)HIST_SUB + sub + 1) << shift) - 1;
 }
 
-/* hist_record() adds one observation of us microseconds. */
+/* hist_record() adds a sample. */
 void hist_record(struct hist *h, uint64_t us)
 {
 	ck_pr_inc_64(&h->counts[hist_bucket_index(us)]);
@@ -39,8 +39,8 @@
 }
 
 /*
- * hist_quantile() returns the upper bound (us) of the bucket holding the
- * q-quantile, 0 <= q <= 1, or 0 for an empty histogram.
+ * hist_quantile() returns the upper bound in microseconds of the bucket that
+ * holds the q-quantile, 0 <= q <= 1, or 0 for an empty histogram.
  */
 uint64_t hist_quantile(const struct hist *h, double q)
 {
@@ -62,7 +62,7 @@
 	return hist_bucket_max_us(HIST_BUCKETS - 1);
 }
 
-/* hist_merge() adds every count of src into dst. */
+/* hist_merge() adds the counts of src to dst. */
 void hist_merge(struct hist *dst, const struct hist *src)
 {
 	for (unsigned b = 0; b < HIST_BUCKETS; b++)
--- a/misc/hist.h
+++ b/misc/hist.h
@@ -1,8 +1,8 @@
 /*
- * Log-linear latency histograms, safe to record into from many traffic
- * threads at once (each bucket is an atomic counter). Values are in
- * microseconds. Each power of two is split into HIST_SUB linear buckets, so
- * the relative error of a quantile is at most 1/HIST_SUB (6.25%).
+ * Log-linear latency histograms in microseconds. Buckets are atomic counters,
+ * so several threads may record at once. Each power of two is split into
+ * HIST_SUB linear buckets, so the relative error of a quantile is at most
+ * 1/HIST_SUB (6.25%).
  */
 #ifndef MP_MISC_HIST_H
 #define MP_MISC_HIST_H
--- a/misc/lstr.h
+++ b/misc/lstr.h
@@ -1,7 +1,6 @@
 /*
- * Length-counted strings. A struct lstr points into memory owned by someone
- * else (an arena, a request buffer, a literal); it is never NUL-terminated
- * by contract, so every function here takes the length from the struct.
+ * Length-counted strings. A struct lstr borrows memory (of an arena, a buffer
+ * or a literal) and need not be NUL-terminated.
  */
 #ifndef MP_MISC_LSTR_H
 #define MP_MISC_LSTR_H
@@ -18,7 +17,7 @@
 #define LSTR(lit) ((struct lstr){(lit), sizeof(lit) - 1})
 
 /*
- * lstr0() wraps a NUL-terminated C string without copying it; NULL gives the
+ * lstr0() wraps a NUL-terminated string without copying it; NULL becomes the
  * empty string.
  */
 static inline struct lstr lstr0(const char *s)
--- a/misc/mailbox.c
+++ b/misc/mailbox.c
@@ -14,7 +14,10 @@
 	}
 }
 
-/* mailbox_init() must be called before either thread uses the mailbox. */
+/*
+ * mailbox_init() sets up a mailbox whose messages are passed to receive() on
+ * loop. It must be called before either thread uses the mailbox.
+ */
 void mailbox_init(struct mailbox *mb, struct ev_loop *loop,
 		  void (*receive)(void *priv, struct mailbox_msg *m),
 		  void *priv)
@@ -30,7 +33,7 @@
 
 /*
  * mailbox_send() queues a message and wakes the receiver. Returns -ENOBUFS
- * when the receiver is MAILBOX_SLOTS messages behind; the sender keeps data.
+ * when the ring is full; the sender then still owns data.
  */
 int mailbox_send(struct mailbox *mb, int kind, void *data)
 {
--- a/misc/mailbox.h
+++ b/misc/mailbox.h
@@ -1,6 +1,7 @@
 /*
- * A one-way queue between two threads with event loops: Concurrency Kit's
- * single-producer ring, and a wake-up of the receiver's loop.
+ * Message queue from one thread to another thread's event loop: a lock-free
+ * single-producer, single-consumer ring (Concurrency Kit) and an ev_async that
+ * wakes the receiver.
  */
 #ifndef MP_MISC_MAILBOX_H
 #define MP_MISC_MAILBOX_H
@@ -14,7 +15,7 @@
 
 struct mailbox_msg {
 	int kind;
-	void *data; /* belongs to the receiver */
+	void *data; /* owned by the receiver */
 };
 
 struct mailbox {
--- a/options/default_ini.c
+++ b/options/default_ini.c
@@ -1,8 +1,8 @@
 #include "options/settings.h"
 
 /*
- * The embedded default: both tenants of the brief at today's sizes, three
- * entry instances and the platform stand-in, all on loopback.
+ * The embedded default deployment: both tenants' services at their current
+ * sizes, three entry instances and the platform stand-in, all on loopback.
  */
 const char settings_default_ini[] =
 	"[platform]\n"
--- a/options/deploy.c
+++ b/options/deploy.c
@@ -58,7 +58,7 @@
 
 static const char *const known_groups[] = {"platform", "entry", NULL};
 
-/* Reads every [service.*] and [entry.*] group, and flags strange groups. */
+/* Reads the [service.*] and [entry.*] groups and reports unknown ones. */
 static void read_groups(struct settings *s, struct deploy *d,
 			struct findings *f)
 {
@@ -87,7 +87,7 @@
 	g_strfreev(groups);
 }
 
-/* Checks what no single key can: names that must agree across groups. */
+/* Checks constraints that go beyond a single key's type and range. */
 static void cross_check(struct settings *s, struct deploy *d,
 			struct findings *f)
 {
@@ -104,8 +104,8 @@
 }
 
 /*
- * deploy_read() reads the deployment from path (NULL: the embedded
- * default) and adds every problem to f. d is usable only when f stays empty.
+ * deploy_read() reads the deployment from path (NULL: the embedded default) and
+ * adds all errors to f. d must only be used if there are none.
  */
 void deploy_read(const char *path, struct deploy *d, struct findings *f)
 {
@@ -126,8 +126,8 @@
 }
 
 /*
- * deploy_load() is deploy_read() that logs every finding. Returns 0, or
- * -EINVAL when there was any, in which case d must not be used.
+ * deploy_load() calls deploy_read() and logs the findings. Returns 0, or
+ * -EINVAL if there are any, in which case d must not be used.
  */
 int deploy_load(const char *path, struct deploy *d)
 {
@@ -141,7 +141,7 @@
 	return ret;
 }
 
-/* deploy_service() finds a service by name, or NULL. */
+/* deploy_service() returns a service by name, or NULL. */
 const struct service_opts *deploy_service(const struct deploy *d,
 					  const char *name)
 {
@@ -154,7 +154,7 @@
 	return NULL;
 }
 
-/* deploy_entry() finds an entry instance by name, or NULL. */
+/* deploy_entry() returns an entry instance by name, or NULL. */
 const struct entry_opts *deploy_entry(const struct deploy *d, const char *name)
 {
 	for (guint i = 0; i < d->entries->len; i++) {
@@ -167,8 +167,8 @@
 }
 
 /*
- * deploy_worker_advertised_addr() writes the address by which others are to reach worker
- * index: a proxy's, if the service has one. Returns 0 or -ERANGE.
+ * deploy_worker_advertised_addr() formats the address that worker index
+ * registers: its proxy's, if the service has one. Returns 0 or -ERANGE.
  */
 int deploy_worker_advertised_addr(const struct service_opts *svc, int index,
 				  char *buf, size_t len)
@@ -181,8 +181,8 @@
 }
 
 /*
- * deploy_worker_addr() writes worker index's loopback address. Returns 0,
- * or -ERANGE when index is not one of the service's workers.
+ * deploy_worker_addr() formats the loopback address of worker index. Returns 0,
+ * or -ERANGE if the service has no such worker.
  */
 int deploy_worker_addr(const struct service_opts *svc, int index, char *buf,
 		       size_t len)
--- a/options/deploy.h
+++ b/options/deploy.h
@@ -1,8 +1,8 @@
 /*
- * The deployment as the settings file describes it: the platform stand-in,
- * the settings every entry instance shares, each service with its workers,
- * and each entry instance with its address and data centre. Every role
- * reads the same file and takes its own part.
+ * A local deployment as described by its settings file: the platform stand-in,
+ * the settings shared by all entry instances, each service with its workers,
+ * and each entry instance with its address and data centre. All roles read the
+ * same file.
  */
 #ifndef MP_OPTIONS_DEPLOY_H
 #define MP_OPTIONS_DEPLOY_H
@@ -35,11 +35,11 @@
 	int slots;
 	int connections;
 	int base_port;
-	int proxy_offset; /* they tell ports so much higher; 0: their own */
+	int proxy_offset; /* added to advertised ports; 0: no proxy */
 	int work_ms;
 	bool protected_action;
-	bool hangs;	  /* when full it never answers, instead of refusing */
-	char *fatal_word; /* in a path or body: it ends the server; "": none */
+	bool hangs;	  /* never responds when full, instead of refusing */
+	char *fatal_word; /* in a path or body: crashes the server; "": none */
 	char **dcs;
 };
 
--- a/options/instance.c
+++ b/options/instance.c
@@ -36,7 +36,7 @@
 	OPT_END,
 };
 
-/* Defaults are on the careful side of what the platform usually names. */
+/* The defaults are more conservative than the platform's usual values. */
 static const struct opt_def bounds_opts[] = {
 	{"drain_ms", OPT_REAL, FIELD(bounds.drain_ms), "2000", 0, 0},
 	{"config_ms", OPT_REAL, FIELD(bounds.config_ms), "2000", 0, 0},
@@ -51,7 +51,7 @@
 	OPT_END,
 };
 
-/* Mechanisms that may be switched off, see core/mechanisms.h. */
+/* Mechanisms that can be disabled, see core/mechanisms.h. */
 static const struct opt_def policy_opts[] = {
 	{"ask", OPT_BOOL, FIELD(policy.ask), "true", 0, 0},
 	{"learn", OPT_BOOL, FIELD(policy.learn), "true", 0, 0},
@@ -70,8 +70,8 @@
 };
 
 /*
- * instance_settings_load() reads and checks a settings file. Every problem is
- * logged with its place. Returns 0 or -EINVAL.
+ * instance_settings_load() reads and validates a settings file. Every error is
+ * logged with its location. Returns 0 or -EINVAL.
  */
 int instance_settings_load(const char *path, struct instance_settings *out)
 {
@@ -83,7 +83,7 @@
 	findings_init(&f);
 	if (!path)
 		findings_add(&f, "(settings)", 0, NULL,
-			     "no file named: use --settings or "
+			     "no settings file: use --settings or "
 			     "MIMOSAPITCH_CONFIG");
 	else if (!settings_open(&s, path, NULL, &f)) {
 		settings_read_group(&s, "instance", instance_opts, out, &f);
@@ -105,6 +105,7 @@
 	return rc;
 }
 
+/* Appends a string that differs. */
 static void diff_text(const char *name, const char *a, const char *b,
 		      struct buf *out)
 {
@@ -112,6 +113,7 @@
 		buf_printf(out, " %s=%s->%s", name, a ? a : "-", b ? b : "-");
 }
 
+/* Appends a boolean that differs. */
 static void diff_bool(const char *name, bool a, bool b, struct buf *out)
 {
 	if (a != b)
@@ -119,7 +121,7 @@
 			   b ? "true" : "false");
 }
 
-/* Names the options of a table whose values differ. */
+/* Appends the options of a table whose values differ. */
 static void diff_group(const struct opt_def *opts,
 		       const struct instance_settings *a,
 		       const struct instance_settings *b, struct buf *out)
@@ -140,7 +142,7 @@
 	}
 }
 
-/* instance_settings_diff() appends " key=old->new" for each. */
+/* instance_settings_diff() appends " key=old->new" for each difference. */
 void instance_settings_diff(const struct instance_settings *a,
 			    const struct instance_settings *b, struct buf *out)
 {
@@ -153,9 +155,10 @@
 }
 
 /*
- * instance_settings_apply_reload() takes over what may change in a running
- * process: the log level and the bounds. The window of the retry budget stays:
- * what was spent is counted in parts of it. Addresses and names stay too.
+ * instance_settings_apply_reload() applies the settings that may change in a
+ * running process: the log level and the bounds, except the retry budget's
+ * window, since the budget counts in fractions of it. All others need a
+ * restart.
  */
 void instance_settings_apply_reload(struct instance_settings *s,
 				    const struct instance_settings *fresh)
@@ -167,7 +170,7 @@
 	s->log_level = fresh->log_level;
 }
 
-/* Ports of a local instance, counted from that of its own interface. */
+/* Port offsets of a local instance from its native API's port. */
 enum {
 	PORT_CALLERS = 1000,
 	PORT_READY = 2000,
@@ -177,9 +180,9 @@
 };
 
 /*
- * instance_settings_from_deploy() makes the settings of one instance of a local
- * deployment: its own interface stands at the address that the deployment
- * names, the rest at ports counted from there. Returns 0 or -ENOENT.
+ * instance_settings_from_deploy() builds the settings of an instance of a local
+ * deployment. The native API listens on the address from the deployment, the
+ * other servers at offsets from its port. Returns 0 or -ENOENT.
  */
 int instance_settings_from_deploy(const struct deploy *d, const char *name,
 				  struct instance_settings *out)
@@ -206,8 +209,10 @@
 	out->heartbeat_ms = 1500;
 	out->log_level = g_strdup(d->entry.log_level);
 	out->policy = mechanisms;
-	/* What the users' platform promises today, but for the questions:
-	 * stand-ins work in milliseconds and get many more requests. */
+	/*
+	 * As the platform sets them today, except the probe rate: stand-ins
+	 * serve a request in milliseconds and get many more of them.
+	 */
 	out->bounds = (struct bounds){
 		.drain_ms = 2000,
 		.config_ms = 2000,
--- a/options/instance.h
+++ b/options/instance.h
@@ -1,6 +1,6 @@
 /*
- * Settings of one entry instance: an INI file named by the environment or
- * the command line. The options stand beside the struct that they fill.
+ * Settings of an entry instance, from an INI file whose path is given on the
+ * command line or in the environment.
  */
 #ifndef MP_OPTIONS_INSTANCE_H
 #define MP_OPTIONS_INSTANCE_H
@@ -9,29 +9,29 @@
 #include "misc/buf.h"
 #include "options/settings.h"
 
-/* What the users are promised of the system as a whole. */
+/* Guarantees to the users, for all instances together. */
 struct bounds {
-	double drain_ms;	 /* until a leaving server gets no new work */
-	double config_ms;	 /* until a version is in force everywhere */
-	double grace_s;		 /* SIGTERM to SIGKILL */
-	double retry_ratio;	 /* extra sends a request, of all instances */
-	double retry_slack;	 /* extra sends a window beside the ratio */
-	double retry_window_s;	 /* the window of both */
-	double directory_keep_s; /* longest that callers keep an answer */
-	double questions_per_s;	 /* to one server, of all instances */
+	double drain_ms;       /* until a draining server gets no requests */
+	double config_ms;      /* until a version is applied everywhere */
+	double grace_s;	       /* SIGTERM to SIGKILL */
+	double retry_ratio;    /* extra sends per request */
+	double retry_slack;    /* extra sends per window, added to the ratio */
+	double retry_window_s; /* length of the window */
+	double directory_keep_s; /* how long callers may cache an answer */
+	double questions_per_s;	 /* probes to one backend server */
 };
 
 struct instance_settings {
 	/* [instance] */
 	char *name, *dc, *region, *ip;
-	bool first_start; /* the whole system starts: no hurry yet */
-	bool via;	  /* requests to servers name it and its lifetime */
+	bool first_start; /* of the whole system: startup may take longer */
+	bool via;	  /* adds a Via header with name and lifetime */
 	/* [listen] */
 	char *callers, *ready, *directory, *peers, *metrics;
-	char *own; /* the product's own interface; NULL: not served */
+	char *own; /* native API; NULL: not served */
 	/* [platform] */
 	char *store;
-	double heartbeat_ms; /* backend servers write their entries so often */
+	double heartbeat_ms; /* interval of backend servers' records */
 	/* [log] */
 	char *log_level; /* info or notice */
 	struct bounds bounds;
@@ -39,9 +39,9 @@
 	struct mechanisms policy;
 };
 
-/* Where the settings of a running process are read anew. */
+/* Reloads the settings of a running process. */
 struct settings_source {
-	/* Logs what is wrong; returns 0 or a negative errno. */
+	/* Logs errors. Returns 0 or a negative errno. */
 	int (*load)(void *priv, struct instance_settings *out);
 	void *priv;
 };
--- a/options/settings.c
+++ b/options/settings.c
@@ -6,9 +6,8 @@
 #include "options/settings.h"
 
 /*
- * settings_open() reads an INI file, or the embedded default text when
- * path is NULL. Returns 0, or -EINVAL with a finding when the file cannot
- * be read or is not INI.
+ * settings_open() reads an INI file, or the given text if path is NULL. Returns
+ * 0, or -EINVAL after adding a finding if the file can't be read or parsed.
  */
 int settings_open(struct settings *s, const char *path, const char *text,
 		  struct findings *f)
@@ -38,7 +37,7 @@
 	return 0;
 }
 
-/* Skips blanks at p and returns the first other character. */
+/* Skips spaces and tabs. */
 static const char *skip_blanks(const char *p)
 {
 	while (*p == ' ' || *p == '\t')
@@ -47,9 +46,9 @@
 }
 
 /*
- * settings_find_line() finds the 1-based line of key in [group], or of the
- * group header when key is NULL or absent; 0 when the group is absent.
- * GKeyFile keeps no line numbers, so this scans the text it was given.
+ * settings_find_line() returns the 1-based line of key in [group], or of the
+ * group header if key is NULL or absent, or 0 if the group is absent. GKeyFile
+ * keeps no line numbers, so this scans the text.
  */
 int settings_find_line(const char *text, const char *group, const char *key)
 {
@@ -80,9 +79,9 @@
 }
 
 /*
- * addr_split() parses "a.b.c.d:port". Returns 0 or -EINVAL. Only IP
- * numbers are taken: the brief's instances talk by IP number, and a name
- * would need a resolver at start.
+ * addr_split() parses "a.b.c.d:port". Returns 0 or -EINVAL. Host names are
+ * rejected: instances address each other by IP address, and a name would need
+ * a resolver at startup.
  */
 int addr_split(const char *addr, char *host, size_t host_len, int *port)
 {
@@ -104,7 +103,7 @@
 	return 0;
 }
 
-/* Converts one raw value; on a bad value adds a finding and returns. */
+/* Parses a value into its field; adds a finding if it is invalid. */
 static void parse_value(const struct settings *s, const char *group,
 			const struct opt_def *d, const char *raw, void *out,
 			struct findings *f)
@@ -123,7 +122,7 @@
 		v = strtol(raw, &end, 10);
 		if (*raw == '\0' || *end != '\0') {
 			findings_add(f, s->path, line, d->key,
-				     "'%s' is not a whole number", raw);
+				     "'%s' is not an integer", raw);
 		} else if (v < d->min || v > d->max) {
 			findings_add(f, s->path, line, d->key,
 				     "%ld is outside %ld..%ld", v, d->min,
@@ -136,11 +135,11 @@
 		if (*raw == '\0' || *end != '\0' ||
 		    *(double *)(void *)field < 0)
 			findings_add(f, s->path, line, d->key,
-				     "'%s' is not a number from 0 on", raw);
+				     "'%s' is not a non-negative number", raw);
 		break;
 	case OPT_BOOL:
 		if (*raw == '\0' && d->def)
-			raw = d->def; /* a template that had no value */
+			raw = d->def; /* unset template variable */
 		if (!strcmp(raw, "true") || !strcmp(raw, "false"))
 			*(bool *)field = !strcmp(raw, "true");
 		else
@@ -149,7 +148,7 @@
 		break;
 	case OPT_ADDR:
 		if (*raw == '\0' && d->def)
-			break; /* optional */
+			break; /* optional: stays NULL */
 		if (addr_split(raw, host, sizeof(host), &port))
 			findings_add(f, s->path, line, d->key,
 				     "'%s' is not an address a.b.c.d:port",
@@ -165,9 +164,9 @@
 }
 
 /*
- * settings_read_group() fills out (a struct laid out as defs say) from
- * [group]; missing keys take their default, and a missing required key or
- * a bad value becomes a finding.
+ * settings_read_group() fills the struct at out, as described by defs, from
+ * [group]. Missing keys get their default; missing required keys, invalid
+ * values and unknown keys become findings.
  */
 void settings_read_group(const struct settings *s, const char *group,
 			 const struct opt_def *defs, void *out,
@@ -184,7 +183,7 @@
 				     d->key, "required in [%s]", group);
 			continue;
 		}
-		/* A template leaves a value empty that it has no figure for. */
+		/* Numbers are empty if the template variable was unset. */
 		bool unset =
 			!raw || (*raw == '\0' && d->type == OPT_REAL && d->def);
 
@@ -194,7 +193,7 @@
 	settings_check_keys(s, group, defs, f);
 }
 
-/* settings_check_keys() makes a finding of every key defs do not name. */
+/* settings_check_keys() adds a finding for every key that defs lacks. */
 void settings_check_keys(const struct settings *s, const char *group,
 			 const struct opt_def *defs, struct findings *f)
 {
@@ -213,7 +212,7 @@
 	g_strfreev(keys);
 }
 
-/* settings_close() frees what settings_open() made. */
+/* settings_close() frees what settings_open() allocated. */
 void settings_close(struct settings *s)
 {
 	if (s->kf)
--- a/options/settings.h
+++ b/options/settings.h
@@ -1,8 +1,8 @@
 /*
- * Settings: INI files read with GLib's GKeyFile and checked against option
- * tables that live beside the code they configure. Every problem becomes a
- * finding with file, line and key; a process starts only when there are
- * none, so nothing ever runs half-configured.
+ * Settings: INI files read with GLib's GKeyFile and validated against option
+ * tables, each defined next to the struct it fills. Every error becomes a
+ * finding with file, line and key; a process starts only without findings, so
+ * it never runs partially configured.
  */
 #ifndef MP_OPTIONS_SETTINGS_H
 #define MP_OPTIONS_SETTINGS_H
@@ -17,9 +17,9 @@
 enum opt_type {
 	OPT_STR,
 	OPT_INT,
-	OPT_REAL, /* a number that isn't negative, stored as double */
+	OPT_REAL, /* a non-negative number, stored as double */
 	OPT_BOOL,
-	OPT_ADDR, /* host:port, IPv4 numbers, stored as char * */
+	OPT_ADDR, /* IPv4 address and port, stored as char * */
 	OPT_LIST, /* comma-separated, stored as char ** (NULL-terminated) */
 };
 
@@ -38,8 +38,8 @@
 
 struct settings {
 	GKeyFile *kf;
-	char *path; /* what findings name as the file */
-	char *text; /* the file's text, to find the line of a key */
+	char *path; /* file name in findings */
+	char *text; /* content, for line numbers */
 };
 
 int settings_open(struct settings *s, const char *path, const char *text,
