--- a/tests/test_event.c
+++ b/tests/test_event.c
@@ -1,6 +1,6 @@
 /*
- * Tests of common/event: what a line looks like, the bound on the rate, and
- * that a reader who has stopped reading delays nobody.
+ * Tests of common/event: line format, rate limit, log level, and that a reader
+ * that stops reading doesn't block the process.
  */
 #include "tests/unit.h"
 
@@ -10,14 +10,14 @@
 #include "common/event.h"
 #include "misc/clock.h"
 
-/* Puts a pipe in the place of standard output. */
-struct swap {
+/* Standard output replaced by a pipe. */
+struct captured_stdout {
 	int saved, reader;
 };
 
-static struct swap swap_stdout(void)
+static struct captured_stdout capture_stdout(void)
 {
-	struct swap s;
+	struct captured_stdout s;
 	int p[2];
 
 	assert_int_equal(pipe(p), 0);
@@ -30,14 +30,14 @@
 	return s;
 }
 
-static void restore_stdout(struct swap *s)
+static void restore_stdout(struct captured_stdout *s)
 {
 	dup2(s->saved, STDOUT_FILENO);
 	close(s->saved);
 	close(s->reader);
 }
 
-/* Waits for the next second, so that its allowance is whole. */
+/* Waits for the next second, whose rate limit is unused. */
 static void next_second(void)
 {
 	struct timespec t;
@@ -60,7 +60,7 @@
 static void test_line(void **state)
 {
 	static char buf[4096];
-	struct swap s = swap_stdout();
+	struct captured_stdout s = capture_stdout();
 
 	mp_event(EV_REQUEST_REFUSED, G_LOG_LEVEL_INFO, "id=%s why=%s", "a-1",
 		 "no room");
@@ -72,11 +72,11 @@
 	assert_int_equal(strncmp(buf, "ts=", 3), 0);
 }
 
-/* A storm: the bound holds, and the next line tells how many are missing. */
+/* The rate limit holds, and the next line reports the dropped lines. */
 static void test_rate(void **state)
 {
 	static char buf[1 << 20];
-	struct swap s = swap_stdout();
+	struct captured_stdout s = capture_stdout();
 	guint64 lost = mp_log_lines_lost();
 	int lines = 0;
 
@@ -99,10 +99,10 @@
 	assert_non_null(strstr(buf, "dropped=1600 after"));
 }
 
-/* Nobody reads: 20,000 lines take no longer than their formatting. */
+/* Without a reader, 20,000 lines take no longer than formatting them. */
 static void test_reader_stopped(void **state)
 {
-	struct swap s = swap_stdout();
+	struct captured_stdout s = capture_stdout();
 	guint64 lost = mp_log_lines_lost();
 	char text[900];
 	int64_t t0;
@@ -116,14 +116,14 @@
 	t0 = clock_ms() - t0;
 	restore_stdout(&s);
 	assert_true(t0 < 2000);
-	/* A pipe holds 64 KB, some 60 of these. */
+	/* A pipe holds 64 KB, about 60 of these lines. */
 	assert_true(mp_log_lines_lost() - lost > 19000);
 }
 
 static void test_level(void **state)
 {
 	static char buf[4096];
-	struct swap s = swap_stdout();
+	struct captured_stdout s = capture_stdout();
 
 	next_second();
 	assert_int_equal(mp_log_set_level("notice"), 0);
--- a/tests/test_head.c
+++ b/tests/test_head.c
@@ -1,4 +1,4 @@
-/* Tests of http/head: what two readers could take differently is refused. */
+/* Tests of http/head: ambiguous request heads are rejected. */
 #include "tests/unit.h"
 
 #include <errno.h>
@@ -16,7 +16,7 @@
 	return head_check(text, n);
 }
 
-static void test_proper_heads(void **state)
+static void test_valid_heads(void **state)
 {
 	assert_int_equal(check("GET / HTTP/1.1\r\n\r\n"), 0);
 	assert_int_equal(check("GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n"), 0);
@@ -26,7 +26,7 @@
 	assert_int_equal(check("POST / HTTP/1.1\r\n"
 			       "Transfer-Encoding: chunked\r\n\r\n"),
 			 0);
-	/* Other headers may stand twice. */
+	/* Other headers may be repeated. */
 	assert_int_equal(check("GET / HTTP/1.1\r\nA: 1\r\nA: 2\r\n\r\n"), 0);
 }
 
@@ -60,8 +60,8 @@
 	}
 }
 
-/* Bytes that come one by one are found complete at the same place. */
-static void test_in_pieces(void **state)
+/* A head received byte by byte ends at the same offset. */
+static void test_byte_by_byte(void **state)
 {
 	const char *text = "GET / HTTP/1.1\r\nHost: x\r\n\r\nGET";
 	size_t whole = strlen(text) - 3;
@@ -79,9 +79,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_proper_heads),
+		cmocka_unit_test(test_valid_heads),
 		cmocka_unit_test(test_smuggling),
-		cmocka_unit_test(test_in_pieces),
+		cmocka_unit_test(test_byte_by_byte),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_hist.c
+++ b/tests/test_hist.c
@@ -17,7 +17,7 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Every value lies at or below its bucket's upper bound, above the last. */
+/* A value is at most its bucket's upper bound and above the previous one. */
 static void test_bucket_bounds(void **state)
 {
 	GRand *rnd = g_rand_new_with_seed(1);
@@ -33,7 +33,7 @@
 	g_rand_free(rnd);
 }
 
-/* Quantiles stay within 1/16 of the exact ones, on seeded random data. */
+/* Quantiles of random data are at most 1/16 above the exact ones. */
 static void test_quantile_error(void **state)
 {
 	enum { N = 20000 };
--- a/tests/test_instance.c
+++ b/tests/test_instance.c
@@ -1,6 +1,6 @@
 /*
- * Tests of options/instance: the template that the platform renders, figures
- * that it leaves empty, findings with their places.
+ * Tests of options/instance: the template that the platform renders, variables
+ * that it leaves unset, invalid settings and reloads.
  */
 #include "tests/unit.h"
 
@@ -11,7 +11,7 @@
 #include "options/deploy.h"
 #include "options/instance.h"
 
-/* What the platform would put for a name; NULL: nothing. */
+/* A template variable and the value that the platform would render. */
 struct value {
 	const char *name, *text;
 };
@@ -47,11 +47,11 @@
 				       ? ""
 				       : values[i].text;
 	}
-	fail_msg("the template asks for %.*s", (int)len, name);
+	fail_msg("unknown template variable %.*s", (int)len, name);
 	return NULL;
 }
 
-/* Renders deploy/instance.ini; `unset` stays empty. Returns its path. */
+/* Renders deploy/instance.ini, with `unset` empty. Returns its path. */
 static char *render(const char *unset)
 {
 	char *text, *path = g_strdup("/tmp/mp-instance-XXXXXX");
@@ -100,7 +100,7 @@
 	g_free(path);
 }
 
-/* A platform that promises less names fewer figures. */
+/* A platform that guarantees less leaves optional variables unset. */
 static void test_empty_optional_values(void **state)
 {
 	struct instance_settings s;
@@ -116,20 +116,20 @@
 	assert_true(s.heartbeat_ms == 1500);
 	unlink(path);
 	g_free(path);
-	/* Without the word it is a restart, which is in more of a hurry. */
+	/* The default is a restart, which must become ready sooner. */
 	path = render("firstStart");
 	assert_int_equal(instance_settings_load(path, &s), 0);
 	assert_false(s.first_start);
 	unlink(path);
 	g_free(path);
-	/* An address is not a figure: without it nothing starts. */
+	/* Addresses are required. */
 	path = render("platform.address");
 	assert_int_equal(instance_settings_load(path, &s), -EINVAL);
 	unlink(path);
 	g_free(path);
 }
 
-/* Loads the template's settings with some lines more. */
+/* Loads the rendered template with extra lines appended. */
 static int load_with(const char *lines, struct instance_settings *s)
 {
 	char *path = render(NULL);
@@ -145,7 +145,7 @@
 	return rc;
 }
 
-/* Each mechanism is on unless the settings switch it off, by a known word. */
+/* Mechanisms are enabled by default; unknown ones and values are errors. */
 static void test_policy(void **state)
 {
 	struct instance_settings s;
@@ -158,7 +158,7 @@
 	assert_int_equal(load_with("[policy]\nmagic = true\n", &s), -EINVAL);
 }
 
-/* A reload says what differs. */
+/* Differences between two loaded settings are listed. */
 static void test_differences(void **state)
 {
 	struct instance_settings a, b;
@@ -180,7 +180,7 @@
 	g_free(path);
 }
 
-/* A running process takes over bounds and log level, and nothing else. */
+/* A reload applies the bounds and the log level, and nothing else. */
 static void test_apply_reload(void **state)
 {
 	struct instance_settings a, b;
@@ -196,7 +196,7 @@
 	instance_settings_apply_reload(&a, &b);
 	assert_true(a.bounds.retry_slack == 90);
 	assert_string_equal(a.log_level, "notice");
-	/* What is left waits for the next start. */
+	/* The remaining differences need a restart. */
 	instance_settings_diff(&a, &b, &out);
 	assert_true(lstr_eq(buf_lstr(&out),
 			    LSTR(" callers=10.1.0.18:8381->10.9.9.9:1"
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -1,4 +1,4 @@
-/* Tests of stand/log: the store stand-in's data. */
+/* Tests of stand/log, the store stand-in's log. */
 #include "tests/unit.h"
 
 #include "stand/log.h"
@@ -30,7 +30,7 @@
 	assert_int_equal(log_read(p, 0, 1000, &out), LOG_OK);
 	assert_int_equal(out.len, 16 + 6 + 5);
 	assert_memory_equal(out.ptr + 7, "\2\0\0\0\0\0\0\0\0\0\0\0\2ab", 15);
-	/* Half a record is none. */
+	/* A truncated record is rejected. */
 	assert_int_equal(
 		log_append(p, (struct lstr){"\0\0\0\5ab", 6}, &none, &pos),
 		LOG_BAD);
@@ -66,7 +66,7 @@
 	struct buf b = {0};
 
 	assert_int_equal(log_append(p, record(&b, "a", 1), &c, &pos), LOG_OK);
-	/* A repeat gets its first outcome and adds nothing. */
+	/* A repeated append returns the first result and appends nothing. */
 	assert_int_equal(log_append(p, record(&b, "a", 1), &c, &pos), LOG_OK);
 	assert_int_equal(pos.offset, 0);
 	assert_int_equal(log_end(p), 1);
@@ -95,7 +95,7 @@
 	n = g_hash_table_lookup(p->newest, "k");
 	assert_int_equal(n->offset, 1);
 	assert_memory_equal(g_bytes_get_data(n->value, NULL), "two", 3);
-	/* Without a value the key is dropped. */
+	/* An empty value deletes the key. */
 	log_append(p, record(&b, "\1k", 2), &none, &pos);
 	assert_null(g_hash_table_lookup(p->newest, "k"));
 	buf_free(&b);
--- a/tests/test_mailbox.c
+++ b/tests/test_mailbox.c
@@ -1,4 +1,4 @@
-/* Tests of misc/mailbox: order, a full queue, two threads. */
+/* Tests of misc/mailbox: message order, a full ring, two threads. */
 #include "tests/unit.h"
 
 #include <errno.h>
@@ -17,7 +17,7 @@
 	bool in_order;
 };
 
-static void on_mail(void *priv, struct mailbox_msg *m)
+static void on_message(void *priv, struct mailbox_msg *m)
 {
 	struct receiver *r = priv;
 
@@ -31,7 +31,7 @@
 	memset(r, 0, sizeof(*r));
 	r->in_order = true;
 	r->loop = ev_loop_new(EVFLAG_NOENV);
-	mailbox_init(&r->mb, r->loop, on_mail, r);
+	mailbox_init(&r->mb, r->loop, on_message, r);
 }
 
 static void test_full(void **state)
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -1,4 +1,4 @@
-/* Tests of http/message: framing, limits, and what ended early. */
+/* Tests of http/message: framing, limits and truncated messages. */
 #include "tests/unit.h"
 
 #include <errno.h>
@@ -9,7 +9,7 @@
 
 static const struct http_limits no_limits = {0, 0};
 
-/* Feeds text in pieces of `step` bytes; returns bytes taken or -errno. */
+/* Feeds text in pieces of `step` bytes; returns bytes consumed or -errno. */
 static ssize_t feed(struct http_reader *r, const char *text, size_t step)
 {
 	size_t n = strlen(text), at = 0;
@@ -47,7 +47,7 @@
 	}
 }
 
-/* What follows a message stays with the caller. */
+/* Bytes after a message are left to the caller. */
 static void test_stops_at_end(void **state)
 {
 	const char *one = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -73,12 +73,12 @@
 	assert_int_equal(feed(&r, text, 3), strlen(text));
 	assert_true(lstr_eq(buf_lstr(&r.msg->body), LSTR("abcde")));
 	assert_true(lstr_eq(r.msg->target, LSTR("/x")));
-	/* Trailers don't become headers. */
+	/* Trailers aren't added to the headers. */
 	assert_null(http_find_header(r.msg, LSTR("t")).ptr);
 	http_reader_free(&r);
 }
 
-/* A close ends a response without a length, and no other. */
+/* A close by the peer only completes a response without a length. */
 static void test_close_delimited(void **state)
 {
 	struct http_reader r;
@@ -154,8 +154,8 @@
 }
 
 /*
- * Heads of requests with bytes changed, by seed and in pieces: each is refused,
- * waits for more, or is a whole message with a method and a target.
+ * Requests with random bytes overwritten, fed in pieces: each is rejected,
+ * stays incomplete, or is a complete message with a method and a target.
  */
 static void test_corrupted_heads(void **state)
 {
@@ -165,7 +165,7 @@
 		"Deadline-Remaining-Ms: 1200\r\nContent-Length: 5\r\n\r\nhello";
 	struct http_limits limits = {512, 1024};
 	GRand *rand = g_rand_new_with_seed(47);
-	int whole = 0;
+	int complete = 0;
 
 	for (int i = 0; i < 20000; i++) {
 		char copy[sizeof(text)];
@@ -180,14 +180,14 @@
 		if (r.msg && r.msg->done) {
 			struct http_message *m = http_reader_take(&r);
 
-			whole++;
+			complete++;
 			assert_true(m->method.len > 0 && m->target.len > 0);
 			assert_true(m->body.len <= 1024);
 			http_message_free(m);
 		}
 		http_reader_free(&r);
 	}
-	assert_in_range(whole, 1, 19999);
+	assert_in_range(complete, 1, 19999);
 	g_rand_free(rand);
 }
 
--- a/tests/test_server.c
+++ b/tests/test_server.c
@@ -1,6 +1,6 @@
 /*
- * Tests of http/server over loopback sockets: kept connections, pipelining,
- * refusals, time limits, callers that leave, and a stop that cuts nobody.
+ * Tests of http/server over loopback sockets: keep-alive, pipelining, rejected
+ * requests, timeouts, callers that disconnect, and graceful shutdown.
  */
 #include "tests/unit.h"
 
@@ -16,13 +16,13 @@
 
 #define ADDR "127.0.0.1:17390"
 
-/* A server whose handler holds requests until it is told to answer. */
+/* A server whose handler replies at once, or never if `hold` is set. */
 struct fixture {
 	struct ev_loop *loop;
 	struct http_server server;
 	struct http_conn *held;
 	bool hold;
-	int requests, gone;
+	int requests, closed;
 	char last_body[64], last_target[64];
 };
 
@@ -42,15 +42,15 @@
 							.body = LSTR("ok")});
 }
 
-static void on_gone(void *priv, struct http_conn *c)
+static void on_closed(void *priv, struct http_conn *c)
 {
 	struct fixture *f = priv;
 
-	f->gone++;
+	f->closed++;
 	f->held = NULL;
 }
 
-static const struct http_server_ops ops = {on_request, on_gone};
+static const struct http_server_ops ops = {on_request, on_closed};
 
 static struct fixture *fixture_new(void)
 {
@@ -87,7 +87,7 @@
 	ev_run(f->loop, 0);
 }
 
-static int dial(void)
+static int connect_client(void)
 {
 	struct sockaddr_in sa;
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -98,14 +98,14 @@
 	return fd;
 }
 
-static void say(int fd, const char *text)
+static void send_text(int fd, const char *text)
 {
 	assert_int_equal(send(fd, text, strlen(text), MSG_NOSIGNAL),
 			 strlen(text));
 }
 
-/* What has arrived so far; "" for nothing, NULL for a reset or a close. */
-static char *hear(int fd)
+/* Returns received bytes, "" if there are none, NULL after reset or close. */
+static char *receive_text(int fd)
 {
 	static char text[4096];
 	ssize_t n = recv(fd, text, sizeof(text) - 1, 0);
@@ -134,57 +134,59 @@
 static void test_keep_alive_and_pipelining(void **state)
 {
 	struct fixture *f = fixture_new();
-	int fd = dial();
+	int fd = connect_client();
 
-	say(fd, GET);
+	send_text(fd, GET);
 	run_ms(f, 10);
-	assert_int_equal(count(hear(fd), "200 OK"), 1);
-	say(fd, GET GET "POST /y HTTP/1.1\r\nHost: a\r\n"
-			"Content-Length: 3\r\n\r\nabc");
+	assert_int_equal(count(receive_text(fd), "200 OK"), 1);
+	send_text(fd, GET GET "POST /y HTTP/1.1\r\nHost: a\r\n"
+			      "Content-Length: 3\r\n\r\nabc");
 	run_ms(f, 10);
-	char *got = hear(fd);
+	char *got = receive_text(fd);
 
 	if (count(got, "200 OK") != 3)
 		fail_msg("requests %d, got %s", f->requests, got);
 	assert_string_equal(f->last_body, "abc");
 	assert_string_equal(f->last_target, "/y");
-	/* Asked to close: closes after the answer. */
-	say(fd, "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+	/* Connection: close in the request closes after the reply. */
+	send_text(fd,
+		  "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
 	run_ms(f, 10);
-	assert_int_equal(count(hear(fd), "Connection: close"), 1);
+	assert_int_equal(count(receive_text(fd), "Connection: close"), 1);
 	run_ms(f, 10);
-	assert_null(hear(fd));
+	assert_null(receive_text(fd));
 	close(fd);
 	fixture_free(f);
 }
 
 /*
- * What was sent behind a request whose answer closes the connection is not
- * read: it is neither handled nor answered, so it may be sent again.
+ * A request pipelined after one whose reply closes the connection is neither
+ * handled nor replied to, so the caller may safely send it again.
  */
 static void test_pipelined_after_close(void **state)
 {
 	struct fixture *f = fixture_new();
-	int fd = dial(), before = f->requests;
+	int fd = connect_client(), before = f->requests;
 
-	say(fd, "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
-		"POST /y HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
+	send_text(fd,
+		  "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
+		  "POST /y HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
 	run_ms(f, 10);
-	char *got = hear(fd);
+	char *got = receive_text(fd);
 
 	assert_non_null(got);
 	assert_int_equal(count(got, "200 OK"), 1);
 	assert_int_equal(count(got, "Connection: close"), 1);
 	assert_int_equal(f->requests, before + 1);
 	run_ms(f, 10);
-	assert_null(hear(fd));
+	assert_null(receive_text(fd));
 	close(fd);
-	/* The same when the server closes, as at a stop. */
+	/* The same if the server closes the connection, as during shutdown. */
 	f->server.disable_keep_alive = true;
-	fd = dial();
-	say(fd, GET GET);
+	fd = connect_client();
+	send_text(fd, GET GET);
 	run_ms(f, 10);
-	got = hear(fd);
+	got = receive_text(fd);
 	assert_non_null(got);
 	assert_int_equal(count(got, "200 OK"), 1);
 	assert_int_equal(f->requests, before + 2);
@@ -192,79 +194,79 @@
 	fixture_free(f);
 }
 
-static void expect_refusal(const char *request, const char *status)
+static void expect_rejected(const char *request, const char *status)
 {
 	struct fixture *f = fixture_new();
-	int fd = dial();
+	int fd = connect_client();
 
-	say(fd, request);
+	send_text(fd, request);
 	run_ms(f, 20);
-	char *answer = hear(fd);
+	char *answer = receive_text(fd);
 
 	if (!answer || !strstr(answer, status))
 		fail_msg("no %s for %.60s", status, request);
 	assert_int_equal(f->requests, 0);
 	run_ms(f, 20);
-	assert_null(hear(fd));
+	assert_null(receive_text(fd));
 	close(fd);
 	fixture_free(f);
 }
 
-static void test_refusals(void **state)
+static void test_rejected_requests(void **state)
 {
 	char *big = g_strdup_printf("GET / HTTP/1.1\r\nA: %01200d\r\n\r\n", 1);
 	char *open = g_strdup_printf("GET / HTTP/1.1\r\nA: %01200d", 1);
 
-	expect_refusal(big, " 431 ");
-	expect_refusal(open, " 431 ");
-	expect_refusal("POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n",
-		       " 413 ");
-	expect_refusal("no request\r\n\r\n", " 400 ");
-	expect_refusal("GET / HTTP/1.1\nHost: a\n\n", " 400 ");
-	expect_refusal("GET / HTTP/1.1\r\nHost : a\r\n\r\n", " 400 ");
-	expect_refusal("POST / HTTP/1.1\r\nContent-Length: 1\r\n"
-		       "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-		       " 400 ");
+	expect_rejected(big, " 431 ");
+	expect_rejected(open, " 431 ");
+	expect_rejected("POST / HTTP/1.1\r\nContent-Length: 101\r\n\r\n",
+			" 413 ");
+	expect_rejected("no request\r\n\r\n", " 400 ");
+	expect_rejected("GET / HTTP/1.1\nHost: a\n\n", " 400 ");
+	expect_rejected("GET / HTTP/1.1\r\nHost : a\r\n\r\n", " 400 ");
+	expect_rejected("POST / HTTP/1.1\r\nContent-Length: 1\r\n"
+			"Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+			" 400 ");
 	g_free(big);
 	g_free(open);
 }
 
-static void test_time_limits(void **state)
+static void test_timeouts(void **state)
 {
 	struct fixture *f = fixture_new();
-	int fd = dial();
+	int fd = connect_client();
 
-	/* A head that never ends. */
-	say(fd, "GET / HTTP/1.1\r\nHo");
+	/* An incomplete head. */
+	send_text(fd, "GET / HTTP/1.1\r\nHo");
 	run_ms(f, 100);
-	assert_string_equal(hear(fd), "");
+	assert_string_equal(receive_text(fd), "");
 	run_ms(f, 100);
-	assert_int_equal(count(hear(fd), " 408 "), 1);
+	assert_int_equal(count(receive_text(fd), " 408 "), 1);
 	close(fd);
-	/* A kept connection stays as long as callers may use it. */
-	fd = dial();
-	say(fd, GET);
+	/* An idle keep-alive connection stays open until its timeout. */
+	fd = connect_client();
+	send_text(fd, GET);
 	run_ms(f, 250);
-	assert_int_equal(count(hear(fd), "200 OK"), 1);
-	assert_string_equal(hear(fd), "");
+	assert_int_equal(count(receive_text(fd), "200 OK"), 1);
+	assert_string_equal(receive_text(fd), "");
 	run_ms(f, 150);
-	assert_null(hear(fd));
+	assert_null(receive_text(fd));
 	close(fd);
 	fixture_free(f);
 }
 
-static void test_caller_leaves(void **state)
+static void test_caller_disconnects(void **state)
 {
 	struct fixture *f = fixture_new();
-	int fd = dial();
+	int fd = connect_client();
 
 	f->hold = true;
-	say(fd, GET);
+	send_text(fd, GET);
 	run_ms(f, 10);
 	assert_int_equal(f->requests, 1);
 	close(fd);
 	run_ms(f, 10);
-	assert_int_equal(f->gone, 1);
+	assert_int_equal(f->closed, 1);
 	assert_int_equal(f->server.nconns, 0);
 	fixture_free(f);
 }
@@ -272,43 +274,43 @@
 static void test_head_and_continue(void **state)
 {
 	struct fixture *f = fixture_new();
-	int fd = dial();
+	int fd = connect_client();
 	char *answer;
 
-	say(fd, "HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n");
+	send_text(fd, "HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n");
 	run_ms(f, 10);
-	answer = hear(fd);
+	answer = receive_text(fd);
 	assert_int_equal(count(answer, "Content-Length: 2"), 1);
 	assert_true(g_str_has_suffix(answer, "\r\n\r\n"));
-	say(fd, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n"
-		"Expect: 100-continue\r\n\r\n");
+	send_text(fd, "POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n"
+		      "Expect: 100-continue\r\n\r\n");
 	run_ms(f, 10);
-	assert_int_equal(count(hear(fd), "100 Continue"), 1);
-	say(fd, "hi");
+	assert_int_equal(count(receive_text(fd), "100 Continue"), 1);
+	send_text(fd, "hi");
 	run_ms(f, 10);
-	assert_int_equal(count(hear(fd), "200 OK"), 1);
+	assert_int_equal(count(receive_text(fd), "200 OK"), 1);
 	assert_string_equal(f->last_body, "hi");
 	close(fd);
 	fixture_free(f);
 }
 
-/* A stop answers who has connected before it, with or without a request. */
+/* Shutdown serves connections made before it, also without a request yet. */
 static void test_shutdown_serves_connected(void **state)
 {
 	struct fixture *f = fixture_new();
-	int sent = dial(), late = dial(), idle;
+	int sent = connect_client(), late = connect_client(), idle;
 
-	say(sent, GET);
-	/* Both wait in the accept queue as the listening socket closes. */
+	send_text(sent, GET);
+	/* Both are in the accept queue when the listening socket is closed. */
 	f->server.disable_keep_alive = true;
 	http_server_stop_listening(&f->server);
 	http_server_close_idle(&f->server);
 	run_ms(f, 10);
-	say(late, GET);
+	send_text(late, GET);
 	http_server_close_idle(&f->server);
 	run_ms(f, 10);
-	assert_int_equal(count(hear(sent), "Connection: close"), 1);
-	char *answer = hear(late);
+	assert_int_equal(count(receive_text(sent), "Connection: close"), 1);
+	char *answer = receive_text(late);
 
 	assert_non_null(answer);
 	assert_int_equal(count(answer, "200 OK"), 1);
@@ -323,11 +325,11 @@
 	fixture_free(f);
 }
 
-/* But a connection that stays silent doesn't hold the stop up for long. */
+/* A connection without a request delays shutdown only briefly. */
 static void test_shutdown_closes_silent(void **state)
 {
 	struct fixture *f = fixture_new();
-	int fd = dial();
+	int fd = connect_client();
 
 	run_ms(f, 10);
 	http_server_stop_listening(&f->server);
@@ -345,9 +347,9 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_keep_alive_and_pipelining),
 		cmocka_unit_test(test_pipelined_after_close),
-		cmocka_unit_test(test_refusals),
-		cmocka_unit_test(test_time_limits),
-		cmocka_unit_test(test_caller_leaves),
+		cmocka_unit_test(test_rejected_requests),
+		cmocka_unit_test(test_timeouts),
+		cmocka_unit_test(test_caller_disconnects),
 		cmocka_unit_test(test_head_and_continue),
 		cmocka_unit_test(test_shutdown_serves_connected),
 		cmocka_unit_test(test_shutdown_closes_silent),
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* Tests of options/settings and options/deploy: findings with places. */
+/* Tests of options/settings and options/deploy: findings and locations. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -35,7 +35,7 @@
 	return path;
 }
 
-/* Every mistake is found in one pass, each with its line and key. */
+/* All errors are found in one pass, each with its line and key. */
 static void test_all_findings_with_lines(void **state)
 {
 	const char *text = "[platform]\n"		/* 1 */
--- a/tests/test_values.c
+++ b/tests/test_values.c
@@ -1,8 +1,8 @@
 /*
- * Tests of conf/values: the acceptance rule, racing operators over the
- * store's conditional append, and seeded random histories: every reader of
- * the newest record sees the same version and values, versions never go
- * back, and of two patches on one version exactly one comes to be.
+ * Tests of conf/values: patches against stale versions, concurrent operators
+ * over the store's conditional append, and random histories: every reader of
+ * the newest record sees the same version and values, versions never go back,
+ * and of two patches on one version exactly one succeeds.
  */
 #include "tests/unit.h"
 
@@ -11,7 +11,7 @@
 #include "conf/values.h"
 #include "stand/log.h"
 
-/* Writes v as operators do: only if the topic still ends at `end`. */
+/* Appends v if the topic still ends at `end`, as operators do. */
 static enum log_outcome write_at(struct log_part *topic,
 				 const struct conf_values *v, uint64_t end)
 {
@@ -34,7 +34,7 @@
 	return rc;
 }
 
-/* Reads the newest version and where the topic ends. */
+/* Reads the newest version into v; returns the end of the topic. */
 static uint64_t read_newest(struct log_part *topic, struct conf_values *v)
 {
 	struct log_newest *n = g_hash_table_lookup(topic->newest, CONF_KEY);
@@ -56,7 +56,7 @@
 	return conf_apply(v, base, id, set, NULL);
 }
 
-/* A patch against a version that isn't live changes nothing. */
+/* A patch against another version than the current one is rejected. */
 static void test_stale_base(void **state)
 {
 	struct conf_values v;
@@ -72,8 +72,8 @@
 	conf_clear(&v);
 }
 
-/* Two phones patch version 1 at once: exactly the first write wins. */
-static void test_racing_operators(void **state)
+/* Of two concurrent patches of version 1, the first write succeeds. */
+static void test_concurrent_operators(void **state)
 {
 	struct log_part *topic = log_part_new(true);
 	struct conf_values one, two, now;
@@ -92,14 +92,14 @@
 	read_newest(topic, &now);
 	assert_int_equal(now.version, 2);
 	assert_string_equal(conf_get(&now, "x"), "2");
-	/* A second copy of the write that won is refused as well. */
+	/* A duplicate of the successful write is rejected too. */
 	assert_int_equal(write_at(topic, &two, end2), LOG_MOVED);
 	conf_clear(&one);
 	conf_clear(&two);
 	conf_clear(&now);
 }
 
-/* The newest record outlives the history. */
+/* The newest record is kept when the history is trimmed. */
 static void test_trimmed_history(void **state)
 {
 	struct log_part *topic = log_part_new(true);
@@ -136,7 +136,7 @@
 	conf_clear(&v);
 }
 
-/* Every prefix of a record is refused, never half read. */
+/* Every truncated record is rejected. */
 static void test_truncated_records(void **state)
 {
 	struct conf_values v, w;
@@ -157,29 +157,30 @@
 
 enum { OPERATORS = 4, STEPS = 400 };
 
-/* One operator of a random history, between its read and its write. */
-struct phone {
+/* State of an operator in a random history. */
+struct operator_state {
 	struct conf_values seen;
 	uint64_t end;
-	bool reading;
+	bool has_read;
 };
 
-/* Operators read, patch and write in any order; a model keeps the truth. */
+/* Operators read, patch and write in random order, checked with a model. */
 static void run_history(guint32 seed)
 {
 	GRand *rand = g_rand_new_with_seed(seed);
 	struct log_part *topic = log_part_new(true);
-	struct phone phones[OPERATORS] = {0};
-	char truth[16] = "", item[32], id[32];
+	struct operator_state operators[OPERATORS] = {0};
+	char expected[16] = "", item[32], id[32];
 	uint64_t version = 0;
 
 	for (int i = 0; i < STEPS; i++) {
-		struct phone *p = &phones[g_rand_int_range(rand, 0, OPERATORS)];
+		struct operator_state *p =
+			&operators[g_rand_int_range(rand, 0, OPERATORS)];
 		struct conf_values now;
 
-		if (!p->reading) {
+		if (!p->has_read) {
 			p->end = read_newest(topic, &p->seen);
-			p->reading = true;
+			p->has_read = true;
 		} else {
 			bool first = p->seen.version == version;
 
@@ -191,17 +192,17 @@
 			assert_int_equal(rc == LOG_OK, first);
 			if (first) {
 				version++;
-				snprintf(truth, sizeof(truth), "%d", i);
+				snprintf(expected, sizeof(expected), "%d", i);
 			}
 			conf_clear(&p->seen);
-			p->reading = false;
+			p->has_read = false;
 		}
 		if (g_rand_int_range(rand, 0, 20) == 0)
 			log_trim(topic, log_end(topic));
 		read_newest(topic, &now);
 		assert_int_equal(now.version, version);
 		if (version)
-			assert_string_equal(conf_get(&now, "x"), truth);
+			assert_string_equal(conf_get(&now, "x"), expected);
 		conf_clear(&now);
 	}
 	g_rand_free(rand);
@@ -222,7 +223,7 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_stale_base),
-		cmocka_unit_test(test_racing_operators),
+		cmocka_unit_test(test_concurrent_operators),
 		cmocka_unit_test(test_trimmed_history),
 		cmocka_unit_test(test_unset_and_bad_items),
 		cmocka_unit_test(test_truncated_records),
--- a/tests/unit.h
+++ b/tests/unit.h
@@ -1,4 +1,4 @@
-/* What every test program includes before cmocka's own header. */
+/* The headers that cmocka requires, and cmocka itself. */
 #ifndef MP_TESTS_UNIT_H
 #define MP_TESTS_UNIT_H
 
