--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -33,7 +33,7 @@
 		return decode_key(rec, c);
 	if (record_backend(rec->key, rec->value, &c->entry) == 0)
 		return true;
-	mp_event(EV_MEMBER_BAD_RECORD, G_LOG_LEVEL_WARNING,
+	mp_event(EV_MEMBER_INVALID_RECORD, G_LOG_LEVEL_WARNING,
 		 "record %" G_GUINT64_FORMAT " of '%.*s' can't be read",
 		 rec->pos.offset, (int)rec->key.len, rec->key.ptr);
 	return decode_key(rec, c);
--- a/control/config_source.c
+++ b/control/config_source.c
@@ -7,7 +7,7 @@
 	for (guint i = 0; i < f->list->len; i++) {
 		const struct finding *p = g_ptr_array_index(f->list, i);
 
-		mp_event(EV_CONFIG_BAD_RECORD, G_LOG_LEVEL_WARNING,
+		mp_event(EV_CONFIG_INVALID_RECORD, G_LOG_LEVEL_WARNING,
 			 "record %" G_GUINT64_FORMAT ": %s: %s",
 			 rec->pos.offset, p->key ? p->key : "-", p->message);
 	}
@@ -24,7 +24,7 @@
 			 " offset=%" G_GUINT64_FORMAT " era=%" G_GUINT64_FORMAT,
 			 held->version, version, rec->pos.offset, rec->pos.era);
 	else
-		mp_event(EV_CONFIG_BAD_RECORD, G_LOG_LEVEL_WARNING,
+		mp_event(EV_CONFIG_INVALID_RECORD, G_LOG_LEVEL_WARNING,
 			 "record %" G_GUINT64_FORMAT
 			 " holds version %" G_GUINT64_FORMAT
 			 ", older than %" G_GUINT64_FORMAT,
--- a/control/control.c
+++ b/control/control.c
@@ -456,7 +456,7 @@
 {
 	struct sockaddr_in addr;
 
-	socket_addr(c->settings.store, &addr);
+	socket_parse_addr(c->settings.store, &addr);
 	ev_timer_init(&c->era_risen, on_new_era, 0, 0);
 	c->era_risen.data = c;
 	store_endpoint_init(&c->store, &addr, on_era_risen, c);
--- a/control/introduce.c
+++ b/control/introduce.c
@@ -110,7 +110,7 @@
 		backend_list_import(
 			&in->backends->list, s->backends, s->backends_pos,
 			clock_ms() - s->backends_age_ms, clock_ms());
-	mp_event(EV_PEER_INTRODUCED, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_PEER_FETCH_DONE, G_LOG_LEVEL_MESSAGE,
 		 "peer=%s config=%s backends=%s servers=%u age_ms=%u",
 		 in->asked.name,
 		 in->config_left ? "left"
@@ -137,7 +137,7 @@
 static void no_answer(struct introduce *in, unsigned status, const char *err)
 {
 	in->refused++;
-	mp_event(EV_PEER_SILENT, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_PEER_FETCH_FAILED, G_LOG_LEVEL_MESSAGE,
 		 "peer=%s what=%s status=%u err=%s", in->asked.name,
 		 in->config_only ? "config" : "snapshot", status,
 		 err ? err : "-");
--- a/control/member_record.c
+++ b/control/member_record.c
@@ -41,7 +41,7 @@
 		struct gossip_message msg;
 
 		if (gossip_read(r->records[i].value, &msg) != 0)
-			mp_event(EV_PEER_BAD_DATAGRAM, G_LOG_LEVEL_WARNING,
+			mp_event(EV_PEER_INVALID_DATAGRAM, G_LOG_LEVEL_WARNING,
 				 "record %.*s is none of ours",
 				 (int)r->records[i].key.len,
 				 r->records[i].key.ptr);
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -296,7 +296,7 @@
 			return;
 		ch->bytes_in += (uint64_t)n;
 		if (gossip_read((struct lstr){bytes, (size_t)n}, &m))
-			mp_event(EV_PEER_BAD_DATAGRAM, G_LOG_LEVEL_WARNING,
+			mp_event(EV_PEER_INVALID_DATAGRAM, G_LOG_LEVEL_WARNING,
 				 "%zd bytes that are no message of ours", n);
 		else
 			on_message(ch, &m);
@@ -324,7 +324,7 @@
 		      void *priv)
 {
 	struct sockaddr_in sa;
-	int rc = socket_addr(listen, &sa);
+	int rc = socket_parse_addr(listen, &sa);
 
 	if (rc)
 		return rc;
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -28,7 +28,7 @@
 	struct gossip_message m;
 
 	if (gossip_read(rec->value, &m) != 0) {
-		mp_event(EV_PEER_BAD_DATAGRAM, G_LOG_LEVEL_WARNING,
+		mp_event(EV_PEER_INVALID_DATAGRAM, G_LOG_LEVEL_WARNING,
 			 "record %.*s is none of ours", (int)rec->key.len,
 			 rec->key.ptr);
 	} else if (m.kind == GOSSIP_CRASH) {
--- a/http/socket.c
+++ b/http/socket.c
@@ -14,8 +14,8 @@
  */
 enum { LISTEN_BACKLOG = 1024 };
 
-/* socket_addr() parses "a.b.c.d:port". Returns 0 or -EINVAL. */
-int socket_addr(const char *addr, struct sockaddr_in *sa)
+/* socket_parse_addr() parses "a.b.c.d:port". Returns 0 or -EINVAL. */
+int socket_parse_addr(const char *addr, struct sockaddr_in *sa)
 {
 	char host[INET_ADDRSTRLEN];
 	int port;
@@ -34,7 +34,7 @@
 	struct sockaddr_in sa;
 	int one = 1, fd, rc;
 
-	rc = socket_addr(addr, &sa);
+	rc = socket_parse_addr(addr, &sa);
 	if (rc)
 		return rc;
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
--- a/http/socket.h
+++ b/http/socket.h
@@ -4,7 +4,7 @@
 
 #include <netinet/in.h>
 
-int socket_addr(const char *addr, struct sockaddr_in *sa);
+int socket_parse_addr(const char *addr, struct sockaddr_in *sa);
 int socket_listen(const char *addr);
 int socket_connect(const struct sockaddr_in *sa);
 int socket_error(int fd);
--- a/options/deploy.c
+++ b/options/deploy.c
@@ -56,7 +56,7 @@
 };
 #undef N
 
-static const char *const known_groups[] = {"platform", "entry", NULL};
+static const char *const static_groups[] = {"platform", "entry", NULL};
 
 /* Reads the [service.*] and [entry.*] groups and reports unknown ones. */
 static void read_groups(struct settings *s, struct deploy *d,
@@ -78,7 +78,7 @@
 			en->name = g_strdup(*g + strlen("entry."));
 			settings_read_group(s, *g, entry_defs, en, f);
 			g_ptr_array_add(d->entries, en);
-		} else if (!g_strv_contains(known_groups, *g)) {
+		} else if (!g_strv_contains(static_groups, *g)) {
 			findings_add(f, s->path,
 				     settings_find_line(s->text, *g, NULL),
 				     NULL, "unknown section [%s]", *g);
--- a/options/instance.c
+++ b/options/instance.c
@@ -172,11 +172,11 @@
 
 /* Port offsets of a local instance from its native API's port. */
 enum {
-	PORT_CALLERS = 1000,
-	PORT_READY = 2000,
-	PORT_DIRECTORY = 3000,
-	PORT_METRICS = 4000,
-	PORT_PEERS = 5000,
+	PORT_OFFSET_CALLERS = 1000,
+	PORT_OFFSET_READY = 2000,
+	PORT_OFFSET_DIRECTORY = 3000,
+	PORT_OFFSET_METRICS = 4000,
+	PORT_OFFSET_PEERS = 5000,
 };
 
 /*
@@ -200,11 +200,14 @@
 	out->region = g_strdup("");
 	out->ip = g_strdup(host);
 	out->own = g_strdup(en->listen);
-	out->callers = g_strdup_printf("%s:%d", host, port + PORT_CALLERS);
-	out->ready = g_strdup_printf("%s:%d", host, port + PORT_READY);
-	out->directory = g_strdup_printf("%s:%d", host, port + PORT_DIRECTORY);
-	out->metrics = g_strdup_printf("%s:%d", host, port + PORT_METRICS);
-	out->peers = g_strdup_printf("%s:%d", host, port + PORT_PEERS);
+	out->callers =
+		g_strdup_printf("%s:%d", host, port + PORT_OFFSET_CALLERS);
+	out->ready = g_strdup_printf("%s:%d", host, port + PORT_OFFSET_READY);
+	out->directory =
+		g_strdup_printf("%s:%d", host, port + PORT_OFFSET_DIRECTORY);
+	out->metrics =
+		g_strdup_printf("%s:%d", host, port + PORT_OFFSET_METRICS);
+	out->peers = g_strdup_printf("%s:%d", host, port + PORT_OFFSET_PEERS);
 	out->store = g_strdup(d->entry.platform);
 	out->heartbeat_ms = 1500;
 	out->log_level = g_strdup(d->entry.log_level);
--- a/stand/backend.c
+++ b/stand/backend.c
@@ -438,7 +438,7 @@
 	s->http.limits = (struct http_limits){HEAD_MAX, BODY_MAX};
 	s->http.head_timeout_s = 5;
 	s->http.idle_timeout_s = 10;
-	return socket_addr(d->entry.platform, &s->store_addr);
+	return socket_parse_addr(d->entry.platform, &s->store_addr);
 }
 
 /*
--- a/stand/operator.c
+++ b/stand/operator.c
@@ -92,7 +92,7 @@
 	struct http_client http = {0};
 	struct sockaddr_in store;
 	struct buf value = {0};
-	int rc = socket_addr(d->entry.platform, &store);
+	int rc = socket_parse_addr(d->entry.platform, &store);
 
 	if (rc)
 		return rc;
@@ -140,7 +140,7 @@
 	struct ev_loop *loop = ev_default_loop(EVFLAG_NOENV);
 	struct http_client http = {0};
 	struct sockaddr_in store;
-	int rc = socket_addr(d->entry.platform, &store);
+	int rc = socket_parse_addr(d->entry.platform, &store);
 
 	for (int i = from; i < to && rc == 0; i++) {
 		struct buf value = {0};
--- a/stand/proxy.c
+++ b/stand/proxy.c
@@ -238,7 +238,7 @@
 	ev_io_init(&port->accept, on_accept, fd, EV_READ);
 	port->accept.data = port;
 	ev_io_start(p->loop, &port->accept);
-	return socket_addr(target, &port->target);
+	return socket_parse_addr(target, &port->target);
 }
 
 static int open_service(struct proxy *p, const struct service_opts *s)
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -316,7 +316,7 @@
 	char addr[32];
 
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", BENCH_PORT + i);
-	socket_addr(addr, &e.addr);
+	socket_parse_addr(addr, &e.addr);
 	snprintf(e.id, sizeof(e.id), "i-%d", i);
 	strcpy(e.service, "harta");
 	strcpy(e.dc, "dc-1");
--- a/tests/bench_callers.h
+++ b/tests/bench_callers.h
@@ -47,7 +47,7 @@
 	c->method = method;
 	snprintf(c->id, sizeof(c->id), "call-%u", b->ids++);
 	g_ptr_array_add(b->callers, c);
-	socket_addr(b->settings.callers, &sa);
+	socket_parse_addr(b->settings.callers, &sa);
 	if (http_client_open(&c->http, b->loop, &sa, 1, none, &caller_ops, c))
 		abort();
 	buf_printf(&q,
--- a/tests/scripted_store.h
+++ b/tests/scripted_store.h
@@ -92,7 +92,7 @@
 	s->server.idle_timeout_s = 5;
 	assert_int_equal(http_server_open(&s->server, s->loop, addr, &ops, s),
 			 0);
-	socket_addr(addr, &sa);
+	socket_parse_addr(addr, &sa);
 	store_endpoint_init(&s->endpoint, &sa, NULL, NULL);
 	g_queue_init(&s->answers);
 	return s;
--- a/tests/test_backend_watch.c
+++ b/tests/test_backend_watch.c
@@ -23,7 +23,7 @@
 {
 	static struct store_endpoint nobody;
 
-	socket_addr("127.0.0.1:1", &nobody.addr);
+	socket_parse_addr("127.0.0.1:1", &nobody.addr);
 	backend_watch_start(w, ev_default_loop(0), &nobody, on_changed,
 			    on_read_done, NULL);
 }
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -83,7 +83,7 @@
 					   on_peer, in),
 			 0);
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", STORE_PORT);
-	socket_addr(addr, &in->store.addr);
+	socket_parse_addr(addr, &in->store.addr);
 	crash_watch_start(&in->watch, f->loop, &in->store, &in->channel,
 			  on_verdict, in);
 }
--- a/tests/test_server.c
+++ b/tests/test_server.c
@@ -92,7 +92,7 @@
 	struct sockaddr_in sa;
 	int fd = socket(AF_INET, SOCK_STREAM, 0);
 
-	socket_addr(ADDR, &sa);
+	socket_parse_addr(ADDR, &sa);
 	assert_int_equal(connect(fd, (struct sockaddr *)&sa, sizeof(sa)), 0);
 	fcntl(fd, F_SETFL, O_NONBLOCK);
 	return fd;
@@ -317,7 +317,7 @@
 	idle = socket(AF_INET, SOCK_STREAM, 0);
 	struct sockaddr_in sa;
 
-	socket_addr(ADDR, &sa);
+	socket_parse_addr(ADDR, &sa);
 	assert_int_equal(connect(idle, (struct sockaddr *)&sa, sizeof(sa)), -1);
 	close(idle);
 	close(sent);
--- a/tools/ctl.c
+++ b/tools/ctl.c
@@ -318,7 +318,7 @@
 {
 	struct ctl c = {.deploy = d};
 	struct sockaddr_in addr;
-	int rc = socket_addr(d->entry.platform, &addr);
+	int rc = socket_parse_addr(d->entry.platform, &addr);
 
 	if (rc)
 		return rc;
--- a/tools/fetch.c
+++ b/tools/fetch.c
@@ -49,7 +49,7 @@
 	struct exchange x = {.body = body, .result = -EIO};
 	struct buf head = {0};
 	struct sockaddr_in sa;
-	int rc = socket_addr(addr, &sa);
+	int rc = socket_parse_addr(addr, &sa);
 
 	if (rc)
 		return rc;
--- a/tools/load.c
+++ b/tools/load.c
@@ -127,10 +127,10 @@
 	char addr[32];
 
 	if (!l->args->direct)
-		return socket_addr(l->entries[l->seq % l->nentries], sa);
+		return socket_parse_addr(l->entries[l->seq % l->nentries], sa);
 	deploy_worker_addr(o, g_rand_int_range(l->rand, 0, o->workers), addr,
 			   sizeof(addr));
-	return socket_addr(addr, sa);
+	return socket_parse_addr(addr, sa);
 }
 
 static void start_call(struct load *l, struct call *c)
--- a/traffic/end_check.c
+++ b/traffic/end_check.c
@@ -61,7 +61,7 @@
 static void log_end(const struct backend *b, unsigned requests,
 		    const char *outcome, const char *why, int64_t ms)
 {
-	mp_event(EV_BACKEND_ENDED, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_BACKEND_CRASH_CHECKED, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s outcome=%s why=%s requests=%u "
 		 "ms=%" G_GINT64_FORMAT,
 		 b->entry.id, b->service->name, outcome, why, requests, ms);
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -32,7 +32,7 @@
 		return;
 	/* A load report from before the backoff must not look like room after it. */
 	b->load = (struct load_report){.slots = b->load.slots};
-	mp_event(EV_BACKOFF, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_BACKEND_BACKOFF, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s backoff_s=%g "
 		 "ends_in_ms=%" G_GINT64_FORMAT
 		 " resume_in_ms=%" G_GINT64_FORMAT " in_flight=%u",
