--- a/http/conn.c
+++ b/http/conn.c
@@ -89,7 +89,7 @@
 }
 
 /* Notifies the handler if it has a pending request, and frees c. */
-static void conn_closed_by_peer(struct http_conn *c)
+static void conn_close_and_notify(struct http_conn *c)
 {
 	if (c->state == CONN_HANDLING && c->server->ops->closed)
 		c->server->ops->closed(c->server->priv, c);
@@ -329,7 +329,7 @@
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
-		conn_closed_by_peer(c);
+		conn_close_and_notify(c);
 		return;
 	}
 	if (c->state == CONN_LINGER)
@@ -356,7 +356,7 @@
 	if (c->state == CONN_READING)
 		conn_reject(c, 408);
 	else
-		conn_closed_by_peer(c);
+		conn_close_and_notify(c);
 }
 
 /* http_conn_new() adds an accepted socket to the server. */
