--- a/common/event.c
+++ b/common/event.c
@@ -26,11 +26,13 @@
 };
 
 static const char *log_role = "-";
-static bool to_stdout, quiet;
-static uint64_t dropped, lost, lines_this_s;
-static bool brief; /* omits events of single requests */
-static uint64_t this_s, routine_this_s;
+static bool to_stdout, critical_only;
+static uint64_t dropped; /* lines since the last one written */
+static uint64_t dropped_total, lines_this_s;
+static bool omit_info; /* events of single requests */
+static uint64_t current_s, routine_this_s;
 
+/* Returns the name of a level in log lines. */
 static const char *level_name(GLogLevelFlags level)
 {
 	if (level & G_LOG_LEVEL_ERROR)
@@ -50,13 +52,13 @@
 static void count_dropped(void)
 {
 	ck_pr_inc_64(&dropped);
-	ck_pr_inc_64(&lost);
+	ck_pr_inc_64(&dropped_total);
 }
 
 /* mp_log_lines_lost() returns the lines dropped since the process started. */
 guint64 mp_log_lines_lost(void)
 {
-	return ck_pr_load_64(&lost);
+	return ck_pr_load_64(&dropped_total);
 }
 
 /*
@@ -67,16 +69,16 @@
 {
 	if (strcmp(name, "info") && strcmp(name, "notice"))
 		return -EINVAL;
-	brief = !strcmp(name, "notice");
+	omit_info = !strcmp(name, "notice");
 	return 0;
 }
 
 /* Resets the per-second counters when a new second has begun. */
 static void start_second(const struct timespec *ts)
 {
-	if (ck_pr_load_64(&this_s) == (uint64_t)ts->tv_sec)
+	if (ck_pr_load_64(&current_s) == (uint64_t)ts->tv_sec)
 		return;
-	ck_pr_store_64(&this_s, (uint64_t)ts->tv_sec);
+	ck_pr_store_64(&current_s, (uint64_t)ts->tv_sec);
 	ck_pr_store_64(&lines_this_s, 0);
 	ck_pr_store_64(&routine_this_s, 0);
 }
@@ -107,7 +109,7 @@
 void mp_log_add_suppressed(unsigned lines)
 {
 	ck_pr_add_64(&dropped, lines);
-	ck_pr_add_64(&lost, lines);
+	ck_pr_add_64(&dropped_total, lines);
 }
 
 /*
@@ -161,9 +163,10 @@
 	struct timespec ts;
 
 	(void)data;
-	if (brief && (level & G_LOG_LEVEL_INFO))
+	if (omit_info && (level & G_LOG_LEVEL_INFO))
 		return G_LOG_WRITER_HANDLED;
-	if (quiet && !(level & (G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_ERROR)))
+	if (critical_only &&
+	    !(level & (G_LOG_LEVEL_CRITICAL | G_LOG_LEVEL_ERROR)))
 		return G_LOG_WRITER_HANDLED;
 	if ((level & G_LOG_LEVEL_DEBUG) && !g_getenv("G_MESSAGES_DEBUG"))
 		return G_LOG_WRITER_HANDLED;
@@ -203,7 +206,7 @@
 /* mp_log_critical_only() omits all but critical lines, for tests. */
 void mp_log_critical_only(void)
 {
-	quiet = true;
+	critical_only = true;
 }
 
 /*
--- a/conf/build.c
+++ b/conf/build.c
@@ -6,7 +6,7 @@
 #include "core/policy.h"
 
 enum {
-	/* A target leaves room for slow calls: most take a third of it. */
+	/* Nearly all calls meet the target; a typical one takes a third. */
 	TARGET_WORK_FACTOR = 20,
 	TARGET_MIN_MS = 100,
 	ATTEMPTS = 3, /* backend servers that a call may be sent to */
--- a/http/client.c
+++ b/http/client.c
@@ -19,6 +19,7 @@
 	ev_timer_start(c->loop, &c->timer);
 }
 
+/* Sets the events that the socket is watched for. */
 static void watch(struct http_client *c, int events)
 {
 	if (c->io.events == events && ev_is_active(&c->io))
@@ -123,6 +124,7 @@
 	}
 }
 
+/* Reads from the socket; input while idle ends the connection. */
 static void on_readable(struct http_client *c)
 {
 	char chunk[READ_CHUNK_BYTES];
@@ -148,11 +150,13 @@
 		fail(c, -EPIPE);
 }
 
+/* Returns whether the owner still allows the request to be sent. */
 static bool may_send(struct http_client *c)
 {
 	return c->sent || !c->ops->may_send || c->ops->may_send(c->priv);
 }
 
+/* Completes a connection attempt and sends pending output. */
 static void on_writable(struct http_client *c)
 {
 	if (c->state == CLIENT_CONNECTING) {
@@ -184,6 +188,7 @@
 	watch(c, c->out.len ? EV_READ | EV_WRITE : EV_READ);
 }
 
+/* Dispatches socket events. */
 static void on_event(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct http_client *c = io->data;
@@ -196,6 +201,7 @@
 		on_writable(c);
 }
 
+/* The connection attempt or the request timed out. */
 static void on_timeout(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	fail(t->data, -ETIMEDOUT);
--- a/http/conn.c
+++ b/http/conn.c
@@ -339,6 +339,7 @@
 		conn_input(c);
 }
 
+/* Dispatches socket events. */
 static void conn_event(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct http_conn *c = io->data;
@@ -349,6 +350,7 @@
 		conn_read(c);
 }
 
+/* Replies 408 to an incomplete request; else closes the connection. */
 static void conn_timeout(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct http_conn *c = t->data;
--- a/http/message.c
+++ b/http/message.c
@@ -53,6 +53,7 @@
 	return 0;
 }
 
+/* Callback for a part of the request target. */
 static int on_url(http_parser *p, const char *at, size_t n)
 {
 	struct http_reader *r = p->data;
@@ -60,6 +61,7 @@
 	return add_head_bytes(r, &r->target, at, n);
 }
 
+/* Callback for a part of a header name; completes the previous header. */
 static int on_field(http_parser *p, const char *at, size_t n)
 {
 	struct http_reader *r = p->data;
@@ -68,6 +70,7 @@
 	return add_head_bytes(r, &r->name, at, n);
 }
 
+/* Callback for a part of a header value. */
 static int on_value(http_parser *p, const char *at, size_t n)
 {
 	struct http_reader *r = p->data;
@@ -78,6 +81,7 @@
 	return add_head_bytes(r, &r->value, at, n);
 }
 
+/* Callback at the end of the head; checks the declared body length. */
 static int on_head_done(http_parser *p)
 {
 	struct http_reader *r = p->data;
@@ -96,6 +100,7 @@
 	return r->no_body ? 1 : 0;
 }
 
+/* Callback for a part of the body. */
 static int on_body(http_parser *p, const char *at, size_t n)
 {
 	struct http_reader *r = p->data;
@@ -109,6 +114,7 @@
 	return 0;
 }
 
+/* Callback at the end of the message; pauses the parser there. */
 static int on_complete(http_parser *p)
 {
 	struct http_reader *r = p->data;
--- a/http/server.c
+++ b/http/server.c
@@ -26,6 +26,7 @@
 	return true;
 }
 
+/* Accepts up to ACCEPT_BATCH_MAX pending connections. */
 static void on_accept(struct ev_loop *loop, ev_io *io, int revents)
 {
 	for (int i = 0; i < ACCEPT_BATCH_MAX; i++) {
--- a/misc/findings.c
+++ b/misc/findings.c
@@ -4,6 +4,7 @@
 #include "common/event.h"
 #include "misc/findings.h"
 
+/* Frees a finding, as the list's element destructor. */
 static void finding_free(gpointer p)
 {
 	struct finding *fd = p;
--- a/misc/mailbox.c
+++ b/misc/mailbox.c
@@ -3,6 +3,7 @@
 
 #include "misc/mailbox.h"
 
+/* Passes all queued messages to the receiver. */
 static void on_wake(struct ev_loop *loop, ev_async *w, int revents)
 {
 	struct mailbox *mb = w->data;
--- a/tests/test_arena.c
+++ b/tests/test_arena.c
@@ -9,6 +9,7 @@
 
 #include "misc/arena.h"
 
+/* Allocations are aligned to 16 bytes and zeroed. */
 static void test_alignment_and_zero(void **state)
 {
 	struct arena a = {0};
@@ -25,6 +26,7 @@
 	assert_null(a.head);
 }
 
+/* Allocations larger than a block, and string copies. */
 static void test_large_and_strings(void **state)
 {
 	struct arena a = {0};
--- a/tests/test_event.c
+++ b/tests/test_event.c
@@ -15,6 +15,7 @@
 	int saved, reader;
 };
 
+/* Replaces standard output with a pipe. */
 static struct captured_stdout capture_stdout(void)
 {
 	struct captured_stdout s;
@@ -30,6 +31,7 @@
 	return s;
 }
 
+/* Undoes capture_stdout(). */
 static void restore_stdout(struct captured_stdout *s)
 {
 	dup2(s->saved, STDOUT_FILENO);
@@ -46,6 +48,7 @@
 	usleep((useconds_t)(1000000 - t.tv_nsec / 1000));
 }
 
+/* Reads what is available as a string. */
 static size_t read_all(int fd, char *buf, size_t max)
 {
 	size_t n = 0;
@@ -57,6 +60,7 @@
 	return n;
 }
 
+/* Format of a log line. */
 static void test_line(void **state)
 {
 	static char buf[4096];
@@ -120,6 +124,7 @@
 	assert_true(mp_log_lines_lost() - lost > 19000);
 }
 
+/* Level notice omits the events of single requests. */
 static void test_level(void **state)
 {
 	static char buf[4096];
--- a/tests/test_head.c
+++ b/tests/test_head.c
@@ -5,6 +5,7 @@
 
 #include "http/head.h"
 
+/* Returns the result of both checks on a complete head. */
 static int check(const char *text)
 {
 	size_t n = strlen(text);
@@ -30,6 +31,7 @@
 	assert_int_equal(check("GET / HTTP/1.1\r\nA: 1\r\nA: 2\r\n\r\n"), 0);
 }
 
+/* Heads that allow request smuggling are rejected. */
 static void test_smuggling(void **state)
 {
 	static const char *const bad[] = {
--- a/tests/test_instance.c
+++ b/tests/test_instance.c
@@ -38,6 +38,7 @@
 	{"bounds.probesPerS", "60"},
 };
 
+/* Returns a variable's value, or "" for the one in `unset`. */
 static const char *value_of(const char *name, size_t len, const char *unset)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(values); i++) {
@@ -80,6 +81,7 @@
 	return path;
 }
 
+/* Values of the rendered template reach the settings. */
 static void test_template(void **state)
 {
 	struct instance_settings s;
@@ -215,6 +217,7 @@
 			 -EINVAL);
 }
 
+/* Addresses of an instance of a local deployment. */
 static void test_from_deploy(void **state)
 {
 	struct instance_settings s;
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -5,6 +5,7 @@
 
 static const struct log_condition none = {.at = -1};
 
+/* Builds a length-prefixed record. */
 static struct lstr record(struct buf *b, const char *content, size_t n)
 {
 	unsigned char head[] = {0, 0, 0, (unsigned char)n};
@@ -15,6 +16,7 @@
 	return buf_lstr(b);
 }
 
+/* Append, read and trim. */
 static void test_append_and_read(void **state)
 {
 	struct log_part *p = log_part_new(false);
@@ -42,6 +44,7 @@
 	buf_free(&out);
 }
 
+/* An append at an offset fails if the log has grown. */
 static void test_condition(void **state)
 {
 	struct log_part *p = log_part_new(false);
@@ -57,6 +60,7 @@
 	buf_free(&b);
 }
 
+/* Producer epochs and sequence numbers. */
 static void test_producer(void **state)
 {
 	struct log_part *p = log_part_new(false);
@@ -82,6 +86,7 @@
 	buf_free(&b);
 }
 
+/* The newest value of each key is kept across a trim. */
 static void test_newest(void **state)
 {
 	struct log_part *p = log_part_new(true);
--- a/tests/test_mailbox.c
+++ b/tests/test_mailbox.c
@@ -17,6 +17,7 @@
 	bool in_order;
 };
 
+/* Checks the order; ends the loop after the last message. */
 static void on_message(void *priv, struct mailbox_msg *m)
 {
 	struct receiver *r = priv;
@@ -34,6 +35,7 @@
 	mailbox_init(&r->mb, r->loop, on_message, r);
 }
 
+/* A full ring rejects messages until it is read. */
 static void test_full(void **state)
 {
 	static struct receiver r;
@@ -53,6 +55,7 @@
 	ev_loop_destroy(r.loop);
 }
 
+/* Sends MESSAGES messages, retrying while the ring is full. */
 static void *sender(void *arg)
 {
 	struct receiver *r = arg;
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -25,6 +25,7 @@
 	return (ssize_t)at;
 }
 
+/* A response split at any size parses the same. */
 static void test_pieces(void **state)
 {
 	const char *text = "HTTP/1.1 200 OK\r\nX-Name: some value\r\n"
@@ -116,6 +117,7 @@
 	http_reader_free(&r);
 }
 
+/* Bodies over the limit are rejected, with and without a length. */
 static void test_limits(void **state)
 {
 	struct http_limits limits = {.body_max = 4};
--- a/tests/test_server.c
+++ b/tests/test_server.c
@@ -77,6 +77,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
+/* Runs the loop for ms milliseconds. */
 static void run_ms(struct fixture *f, int ms)
 {
 	ev_timer t;
@@ -87,6 +88,7 @@
 	ev_run(f->loop, 0);
 }
 
+/* Opens a non-blocking client connection. */
 static int connect_client(void)
 {
 	struct sockaddr_in sa;
@@ -118,6 +120,7 @@
 	return text;
 }
 
+/* Counts occurrences of `what` in text. */
 static int count(const char *text, const char *what)
 {
 	int n = 0;
@@ -194,6 +197,7 @@
 	fixture_free(f);
 }
 
+/* Expects a request to be rejected with a status and a close. */
 static void expect_rejected(const char *request, const char *status)
 {
 	struct fixture *f = fixture_new();
@@ -255,6 +259,7 @@
 	fixture_free(f);
 }
 
+/* The handler learns of a disconnect before the reply. */
 static void test_caller_disconnects(void **state)
 {
 	struct fixture *f = fixture_new();
@@ -271,6 +276,7 @@
 	fixture_free(f);
 }
 
+/* HEAD replies have no body; Expect: 100-continue is honoured. */
 static void test_head_and_continue(void **state)
 {
 	struct fixture *f = fixture_new();
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -24,6 +24,7 @@
 	assert_true(deploy_service(&d, "rezervari")->protected_action);
 }
 
+/* Writes a temporary file and returns its path. */
 static char *write_ini(const char *text)
 {
 	char *path = g_strdup("/tmp/mp-test-XXXXXX");
--- a/tests/test_values.c
+++ b/tests/test_values.c
@@ -49,6 +49,7 @@
 	return log_end(topic);
 }
 
+/* Applies a patch of one item. */
 static int apply(struct conf_values *v, uint64_t base, const char *id, char *kv)
 {
 	char *set[] = {kv, NULL};
@@ -119,6 +120,7 @@
 	conf_clear(&now);
 }
 
+/* Keys can be removed; malformed items are rejected. */
 static void test_unset_and_bad_items(void **state)
 {
 	char *unset[] = {"x", NULL}, *bad[] = {"x", NULL},
