--- a/common/event.h
+++ b/common/event.h
@@ -1,8 +1,8 @@
 /*
- * Numbered log events. Every log line the system writes carries an event
- * number from this list; docs/EVENTS.md catalogues them for operators.
- * Lines go through GLib's structured logging with the fields EVENT, ROLE
- * and MESSAGE, and are written one per line as key=value pairs.
+ * Structured logging. Every log line carries one of the event numbers below;
+ * docs/EVENTS.md describes them for operators. Messages go through GLib's
+ * structured logging with the fields EVENT, ROLE and MESSAGE, and are written
+ * one per line as key=value pairs.
  */
 #ifndef MP_COMMON_EVENT_H
 #define MP_COMMON_EVENT_H
@@ -16,12 +16,12 @@
 	EV_STOPPING = 101,
 	EV_STOPPED = 102,
 	EV_RELOADED = 103,
-	EV_SETTINGS_BAD = 110,
+	EV_SETTINGS_INVALID = 110,
 	EV_SETTINGS_FINDING = 111,
 	EV_LISTEN_FAILED = 120,
 
 	EV_CONFIG_APPLIED = 200,
-	EV_CONFIG_BAD_RECORD = 205,
+	EV_CONFIG_INVALID_RECORD = 205,
 	EV_CONFIG_KEPT = 206,
 	EV_CONFIG_REPLACED = 207,
 
@@ -29,66 +29,66 @@
 	EV_PLATFORM_RECOVERED = 301,
 	EV_STORE_ERA = 302,
 	EV_STORE_ERA_INVALID = 303,
-	EV_STORE_OLD_ANSWER = 304,
-	EV_STORE_LIST_ANEW = 305,
+	EV_STORE_STALE_RESPONSE = 304,
+	EV_STORE_RELIST = 305,
 	EV_MEMBER_JOINED = 310,
 	EV_MEMBER_LEAVING = 311,
-	EV_MEMBER_GONE = 312,
-	EV_MEMBER_BAD_RECORD = 313,
-	EV_MEMBER_DOUBTED = 319,
-	EV_BACKEND_SHUNNED = 314,
-	EV_BACKEND_TRUSTED = 315,
+	EV_MEMBER_REMOVED = 312,
+	EV_MEMBER_INVALID_RECORD = 313,
+	EV_MEMBER_UNCONFIRMED = 319,
+	EV_BACKEND_DEPRIORITIZED = 314,
+	EV_BACKEND_RECOVERED = 315,
 	EV_BACKEND_DOWN = 316,
 	EV_BACKEND_UP = 317,
-	EV_BACKEND_ENDED = 318,
+	EV_BACKEND_CRASH_CHECKED = 318,
 	EV_PEER_JOINED = 320,
-	EV_PEER_BAD_DATAGRAM = 321,
+	EV_PEER_INVALID_DATAGRAM = 321,
 	EV_PEERS_CHANGED = 322,
-	EV_PEER_INTRODUCED = 323,
+	EV_PEER_FETCH_DONE = 323,
 	EV_PEER_LOST = 324,
-	EV_PEER_SILENT = 325,
+	EV_PEER_FETCH_FAILED = 325,
 	EV_RECORDS_RESTORED = 326,
 	EV_CRASH_SUSPECTED = 330,
 	EV_CRASH_QUARANTINED = 331,
 	EV_CRASH_RELEASED = 332,
 	EV_CRASH_TRIAL = 333,
-	EV_LIMIT_NAMED = 340,
+	EV_LIMIT_STARTED = 340,
 	EV_LIMIT_ENDED = 341,
-	EV_LIMIT_BAD = 342,
-	EV_LIMIT_SEND = 343,
-	EV_LIMIT_GIVEN = 344,
-	EV_BACKOFF = 345,
+	EV_LIMIT_INVALID = 342,
+	EV_LIMIT_CHARGED = 343,
+	EV_LIMIT_GRANTED = 344,
+	EV_BACKEND_BACKOFF = 345,
 	EV_BACKEND_DRAINING = 346,
 	EV_RESPONSE_INVALID = 347,
 
-	EV_CALL_FOREIGN_ANSWER = 401,
+	EV_RESPONSE_MISMATCHED = 401,
 
 	EV_REQUEST_SENT = 410,
 	EV_REQUEST_DONE = 411,
 	EV_REQUEST_REFUSED = 412,
-	EV_REQUEST_UNKNOWN = 413,
+	EV_REQUEST_OUTCOME_UNKNOWN = 413,
 	EV_REQUEST_RETRY = 414,
-	EV_REQUEST_GONE = 415,
+	EV_REQUEST_CALLER_LEFT = 415,
 	EV_REQUEST_NO_ROUTE = 416,
-	EV_REQUEST_BAD = 417,
-	EV_REQUEST_BROKEN = 418,
-	EV_REQUEST_EXTRA = 419,
-	EV_REQUEST_WITHDRAWN = 420,
+	EV_REQUEST_INVALID = 417,
+	EV_REQUEST_CONNECTION_BROKEN = 418,
+	EV_REQUEST_EXTRA_SEND = 419,
+	EV_REQUEST_SEND_CANCELED = 420,
 
 	EV_INVARIANT_BROKEN = 900,
 };
 
 void mp_log_init(const char *role);
 void mp_log_to_stdout(void);
-void mp_log_quiet(void);
+void mp_log_critical_only(void);
 int mp_log_set_level(const char *name);
-guint64 mp_log_lost(void);
-bool mp_log_routine(void);
-void mp_log_withheld(unsigned lines);
+guint64 mp_log_lines_lost(void);
+bool mp_log_allow_routine(void);
+void mp_log_add_suppressed(unsigned lines);
 void mp_event(enum mp_event ev, GLogLevelFlags level, const char *fmt, ...)
 	__attribute__((format(printf, 3, 4)));
 
-/* mp_invariant() logs event 900 and aborts: an invariant never bends. */
+/* mp_invariant() logs event 900 and aborts if cond is false. */
 #define mp_invariant(cond, ...)                                             \
 	do {                                                                \
 		if (!(cond)) {                                              \
--- a/conf/build.c
+++ b/conf/build.c
@@ -6,34 +6,35 @@
 #include "core/policy.h"
 
 enum {
-	/* Targets are met by all but few; a call takes a third as a rule. */
-	TARGET_PER_WORK = 20,
-	TARGET_LEAST_MS = 100,
-	ATTEMPTS = 3, /* servers a call may be sent to */
+	/* Nearly all calls meet the target; a typical one takes a third. */
+	TARGET_WORK_FACTOR = 20,
+	TARGET_MIN_MS = 100,
+	ATTEMPTS = 3, /* backend servers that a call may be sent to */
 };
 
-/* Path of the stand-ins' health and load question. */
+/* Health and load probe of the stand-in backend servers. */
 static const struct lstr health_path = {"/health", 7};
 
-/* Reads a positive number a value may hold for a service. */
-static uint32_t service_number(const struct conf_values *v, const char *what,
-			       const char *service, uint32_t standard,
-			       struct findings *f)
+/* Reads the positive integer WHAT.SERVICE, or returns its default. */
+static uint32_t read_service_uint(const struct conf_values *v, const char *what,
+				  const char *service, uint32_t fallback,
+				  struct findings *f)
 {
 	char *key = g_strdup_printf("%s.%s", what, service);
 	const char *s = conf_get(v, key);
 	char *end;
-	unsigned long n = s ? strtoul(s, &end, 10) : standard;
+	unsigned long n = s ? strtoul(s, &end, 10) : fallback;
 
 	if (s && (*s == '\0' || *end || n == 0 || n > UINT32_MAX)) {
 		findings_add(f, "config", 0, key,
-			     "'%s' is not a whole number from 1 on", s);
-		n = standard;
+			     "'%s' is not a positive integer", s);
+		n = fallback;
 	}
 	g_free(key);
 	return (uint32_t)n;
 }
 
+/* Returns the policy set for a service, for all services or by default. */
 static const struct place_policy *service_policy(const struct deploy *d,
 						 const struct conf_values *v,
 						 const char *service,
@@ -49,11 +50,12 @@
 		name = d->entry.policy;
 	p = place_policy_find(name);
 	if (!p)
-		findings_add(f, "config", 0, key, "'%s' is no policy", name);
+		findings_add(f, "config", 0, key, "unknown policy '%s'", name);
 	g_free(key);
 	return p;
 }
 
+/* Fills in service i and its route. */
 static void build_service(struct config *c, const struct deploy *d,
 			  const struct conf_values *v, size_t i,
 			  struct findings *f)
@@ -61,28 +63,30 @@
 	const struct service_opts *o = d->services->pdata[i];
 	struct service_config *s = &c->services[i];
 	struct route *r = &c->routes[i];
-	uint32_t target = (uint32_t)o->work_ms * TARGET_PER_WORK;
+	uint32_t target = (uint32_t)o->work_ms * TARGET_WORK_FACTOR;
 
 	s->name = arena_lstr(&c->arena, lstr0(o->name));
 	s->health_path = health_path;
 	s->max_connections = (unsigned)o->connections;
 	s->policy = service_policy(d, v, o->name, f);
 	r->name = s->name;
-	r->host = LSTR(CONF_OWN_HOST);
-	r->path_prefix =
-		lstr0(arena_printf(&c->arena, CONF_OWN_PREFIX "%s/", o->name));
+	r->host = LSTR(CONF_NATIVE_HOST);
+	r->path_prefix = lstr0(
+		arena_printf(&c->arena, CONF_NATIVE_PREFIX "%s/", o->name));
 	r->idempotent = !o->protected_action;
-	r->max_attempts = service_number(v, "attempts", o->name, ATTEMPTS, f);
-	r->timeout_ms = service_number(v, "timeout_ms", o->name,
-				       (uint32_t)d->entry.deadline_ms, f);
-	r->target_ms = service_number(
+	r->max_attempts =
+		read_service_uint(v, "attempts", o->name, ATTEMPTS, f);
+	r->timeout_ms = read_service_uint(v, "timeout_ms", o->name,
+					  (uint32_t)d->entry.deadline_ms, f);
+	r->target_ms = read_service_uint(
 		v, "target_ms", o->name,
-		target > TARGET_LEAST_MS ? target : TARGET_LEAST_MS, f);
+		target > TARGET_MIN_MS ? target : TARGET_MIN_MS, f);
 	r->nsplits = 1;
 	r->splits = arena_alloc(&c->arena, sizeof(*r->splits));
 	r->splits[0] = (struct route_split){s->name, 1};
 }
 
+/* Lists the backend servers with drain.SERVER = true. */
 static void build_drained(struct config *c, const struct conf_values *v)
 {
 	GHashTableIter it;
@@ -98,14 +102,14 @@
 	}
 }
 
-/* conf_build() returns the version, or NULL with findings. */
+/* conf_build() returns a configuration, or NULL after adding findings. */
 struct config *conf_build(const struct deploy *d, const struct conf_values *v,
 			  struct findings *f)
 {
 	struct config *c = config_new();
 	guint before = f->list->len;
 
-	/* Version 0 of the values is the settings' own: a usable version. */
+	/* Values version 0, without any patch, is a usable configuration. */
 	c->version = v->version + 1;
 	c->nservices = c->nroutes = d->services->len;
 	c->services =
@@ -121,7 +125,7 @@
 	return NULL;
 }
 
-/* conf_decode() is conf_build() from a record, or from none (empty). */
+/* conf_decode() is conf_build() from a stored record; empty: no patches. */
 struct config *conf_decode(void *deploy, struct lstr record, struct findings *f)
 {
 	struct conf_values v;
@@ -129,8 +133,7 @@
 
 	conf_init(&v);
 	if (record.len && conf_read(record, &v))
-		findings_add(f, "config", 0, NULL,
-			     "the record is no whole version");
+		findings_add(f, "config", 0, NULL, "malformed record");
 	else
 		c = conf_build(deploy, &v, f);
 	conf_clear(&v);
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -163,7 +163,7 @@
 	unconfirmed.unconfirmed = true;
 	record_recent(l, &unconfirmed, now_ms);
 	backend_list_add_unconfirmed(l, d, now_ms);
-	mp_event(EV_MEMBER_DOUBTED, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_MEMBER_UNCONFIRMED, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s offset=%" G_GUINT64_FORMAT
 		 " era=%" G_GUINT64_FORMAT,
 		 d->entry.id, d->entry.service, d->pos.offset, d->pos.era);
--- a/control/backend_watch.c
+++ b/control/backend_watch.c
@@ -36,7 +36,7 @@
 		return decode_key(rec, c);
 	if (records_decode_backend(rec->key, rec->value, &c->entry) == 0)
 		return true;
-	mp_event(EV_MEMBER_BAD_RECORD, G_LOG_LEVEL_WARNING,
+	mp_event(EV_MEMBER_INVALID_RECORD, G_LOG_LEVEL_WARNING,
 		 "record %" G_GUINT64_FORMAT " of '%.*s' can't be decoded",
 		 rec->pos.offset, (int)rec->key.len, rec->key.ptr);
 	return decode_key(rec, c);
@@ -63,7 +63,7 @@
 	 * once.
 	 */
 	if (err == -ERANGE) {
-		mp_event(EV_STORE_LIST_ANEW, G_LOG_LEVEL_MESSAGE,
+		mp_event(EV_STORE_RELIST, G_LOG_LEVEL_MESSAGE,
 			 "what=backends offset=%" G_GUINT64_FORMAT
 			 " era=%" G_GUINT64_FORMAT
 			 " known_era=%" G_GUINT64_FORMAT,
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -187,7 +187,7 @@
  */
 static void request_listing(struct config_watch *w)
 {
-	mp_event(EV_STORE_LIST_ANEW, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_STORE_RELIST, G_LOG_LEVEL_MESSAGE,
 		 "what=config offset=%" G_GUINT64_FORMAT
 		 " era=%" G_GUINT64_FORMAT " known_era=%" G_GUINT64_FORMAT,
 		 w->pos.offset, w->pos.era, w->store.store->era);
--- a/control/control.c
+++ b/control/control.c
@@ -50,7 +50,7 @@
 static void log_change(const struct backend_change *ch)
 {
 	if (ch->removed)
-		mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE,
+		mp_event(EV_MEMBER_REMOVED, G_LOG_LEVEL_MESSAGE,
 			 "backend=%s offset=%" G_GUINT64_FORMAT
 			 " era=%" G_GUINT64_FORMAT,
 			 ch->entry.id, ch->pos.offset, ch->pos.era);
@@ -371,9 +371,9 @@
 {
 	struct buf changed = {0}, deferred = {0};
 
-	instance_settings_differences(&c->settings, loaded, &changed);
-	instance_settings_take_over(&c->settings, loaded);
-	instance_settings_differences(&c->settings, loaded, &deferred);
+	instance_settings_diff(&c->settings, loaded, &changed);
+	instance_settings_apply_reload(&c->settings, loaded);
+	instance_settings_diff(&c->settings, loaded, &deferred);
 	mp_event(EV_RELOADED, G_LOG_LEVEL_MESSAGE,
 		 "settings=%s changed=[%.*s ] at_next_start=[%.*s ]",
 		 changed.len ? "changed" : "as before", (int)changed.len,
@@ -401,7 +401,7 @@
 }
 
 /* Handles a message of the traffic thread. */
-static void from_traffic(void *priv, struct mail *m)
+static void from_traffic(void *priv, struct mailbox_msg *m)
 {
 	struct control *c = priv;
 
@@ -477,7 +477,7 @@
 {
 	struct sockaddr_in addr;
 
-	socket_addr(c->settings.store, &addr);
+	socket_parse_addr(c->settings.store, &addr);
 	ev_timer_init(&c->era_timer, on_new_era, 0, 0);
 	c->era_timer.data = c;
 	store_endpoint_init(&c->store, &addr, on_era_risen, c);
--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -111,7 +111,7 @@
 		backend_list_import(
 			&in->backends->list, s->backends, s->backends_pos,
 			clock_ms() - s->backends_age_ms, clock_ms());
-	mp_event(EV_PEER_INTRODUCED, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_PEER_FETCH_DONE, G_LOG_LEVEL_MESSAGE,
 		 "peer=%s config=%s backends=%s servers=%u age_ms=%u",
 		 in->target.name,
 		 in->config_too_large ? "left"
@@ -131,10 +131,9 @@
 }
 
 /* Accepts any response: only one request is pending. */
-static enum http_verdict accept_response(void *priv,
-					 const struct http_message *m)
+static enum http_match accept_response(void *priv, const struct http_message *m)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 /* Handles a failed request. A busy peer answers 503, which is no error. */
@@ -142,7 +141,7 @@
 			 const char *err)
 {
 	in->failures++;
-	mp_event(EV_PEER_SILENT, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_PEER_FETCH_FAILED, G_LOG_LEVEL_MESSAGE,
 		 "peer=%s what=%s status=%u err=%s", in->target.name,
 		 in->config_only ? "config" : "snapshot", status,
 		 err ? err : "-");
@@ -174,7 +173,7 @@
 }
 
 static const struct http_client_ops client_ops = {
-	.judge = accept_response, .response = on_response, .failed = on_failed};
+	.match = accept_response, .response = on_response, .failed = on_failed};
 
 /* Sends a request to a peer. Returns 0 or a negative errno. */
 static int send_request(struct peer_fetch *in, const struct peer_info *peer,
--- a/core/outlier.c
+++ b/core/outlier.c
@@ -53,7 +53,8 @@
 	if (outlier_is_deprioritized(b, now_ms) == b->deprioritized)
 		return;
 	b->deprioritized = !b->deprioritized;
-	mp_event(b->deprioritized ? EV_BACKEND_SHUNNED : EV_BACKEND_TRUSTED,
+	mp_event(b->deprioritized ? EV_BACKEND_DEPRIORITIZED
+				  : EV_BACKEND_RECOVERED,
 		 G_LOG_LEVEL_MESSAGE, "backend=%s service=%s trouble=%.1f",
 		 b->entry.id, b->service->name, b->failure_score);
 }
--- a/http/client.c
+++ b/http/client.c
@@ -7,17 +7,19 @@
 #include "http/client.h"
 #include "http/socket.h"
 
-enum { READ_CHUNK = 8192 }; /* bytes; most answers fit one read */
+enum { READ_CHUNK_BYTES = 8192 }; /* most responses fit into one read */
 
-static void set_timer(struct http_client *c, double after_s)
+/* Restarts the connection's timer; 0 stops it. */
+static void set_timer(struct http_client *c, double timeout_s)
 {
 	ev_timer_stop(c->loop, &c->timer);
-	if (after_s <= 0)
+	if (timeout_s <= 0)
 		return;
-	ev_timer_set(&c->timer, after_s, 0);
+	ev_timer_set(&c->timer, timeout_s, 0);
 	ev_timer_start(c->loop, &c->timer);
 }
 
+/* Sets the events that the socket is watched for. */
 static void watch(struct http_client *c, int events)
 {
 	if (c->io.events == events && ev_is_active(&c->io))
@@ -27,7 +29,7 @@
 	ev_io_start(c->loop, &c->io);
 }
 
-/* http_client_close() ends the connection; the owner is not told. */
+/* http_client_close() closes the connection without calling ops->failed. */
 void http_client_close(struct http_client *c)
 {
 	if (c->state == CLIENT_CLOSED)
@@ -41,6 +43,7 @@
 	buf_free(&c->out);
 }
 
+/* Closes the connection and reports err to the owner. */
 static void fail(struct http_client *c, int err)
 {
 	bool sent = c->sent;
@@ -49,8 +52,8 @@
 	c->ops->failed(c->priv, err, sent);
 }
 
-/* Reads whole responses that nobody waits for out of n bytes at p. */
-static void take_unsolicited(struct http_client *c, const char *p, size_t n)
+/* Parses complete responses without a request from n bytes at p. */
+static void read_unsolicited(struct http_client *c, const char *p, size_t n)
 {
 	while (n) {
 		ssize_t used = http_reader_feed(&c->reader, p, n);
@@ -68,14 +71,15 @@
 }
 
 /*
- * Hands a finished response to the owner; false when it was not the one. The n bytes
- * at p came behind it.
+ * Passes a complete response to the owner; returns false if it belongs to
+ * another request. The n bytes at p were received after it.
  */
 static bool deliver(struct http_client *c, const char *p, size_t n)
 {
 	struct http_message *m = http_reader_take(&c->reader);
 
-	if (m->status / 100 == 1 || c->ops->judge(c->priv, m) == HTTP_SKIP) {
+	if (m->status / 100 == 1 ||
+	    c->ops->match(c->priv, m) == HTTP_UNMATCHED) {
 		if (m->status / 100 != 1)
 			c->reusable = false;
 		if (!m->keep_alive)
@@ -84,7 +88,7 @@
 		return false;
 	}
 	set_timer(c, 0);
-	/* An early answer leaves the rest of the request unsent. */
+	/* After an early response the rest of the request stays unsent. */
 	if (!m->keep_alive || c->out.len)
 		c->reusable = false;
 	c->waiting = false;
@@ -93,13 +97,13 @@
 	c->state = CLIENT_IDLE;
 	buf_free(&c->out);
 	watch(c, EV_READ);
-	take_unsolicited(c, p, n);
+	read_unsolicited(c, p, n);
 	c->ops->response(c->priv, m);
 	return true;
 }
 
-/* Reads responses out of n bytes at p. */
-static void take_bytes(struct http_client *c, const char *p, size_t n)
+/* Parses responses from n bytes at p. */
+static void read_responses(struct http_client *c, const char *p, size_t n)
 {
 	while (n) {
 		ssize_t used = http_reader_feed(&c->reader, p, n);
@@ -112,7 +116,7 @@
 		n -= (size_t)used;
 		if (!c->reader.msg->done)
 			return;
-		/* Bytes after an answer belong to no request. */
+		/* Bytes after a response belong to no request. */
 		if (n)
 			c->reusable = false;
 		if (deliver(c, p, n))
@@ -120,9 +124,10 @@
 	}
 }
 
+/* Reads from the socket; input while idle ends the connection. */
 static void on_readable(struct http_client *c)
 {
-	char chunk[READ_CHUNK];
+	char chunk[READ_CHUNK_BYTES];
 	ssize_t n = recv(c->fd, chunk, sizeof(chunk), 0);
 
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
@@ -132,12 +137,12 @@
 		return;
 	}
 	if (c->state == CLIENT_IDLE) {
-		take_unsolicited(c, chunk, (size_t)n);
+		read_unsolicited(c, chunk, (size_t)n);
 		fail(c, n ? -EPROTO : -EPIPE);
 		return;
 	}
 	if (n > 0) {
-		take_bytes(c, chunk, (size_t)n);
+		read_responses(c, chunk, (size_t)n);
 		return;
 	}
 	c->reusable = false;
@@ -145,11 +150,13 @@
 		fail(c, -EPIPE);
 }
 
+/* Returns whether the owner still allows the request to be sent. */
 static bool may_send(struct http_client *c)
 {
 	return c->sent || !c->ops->may_send || c->ops->may_send(c->priv);
 }
 
+/* Completes a connection attempt and sends pending output. */
 static void on_writable(struct http_client *c)
 {
 	if (c->state == CLIENT_CONNECTING) {
@@ -181,6 +188,7 @@
 	watch(c, c->out.len ? EV_READ | EV_WRITE : EV_READ);
 }
 
+/* Dispatches socket events. */
 static void on_event(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct http_client *c = io->data;
@@ -193,14 +201,15 @@
 		on_writable(c);
 }
 
+/* The connection attempt or the request timed out. */
 static void on_timeout(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	fail(t->data, -ETIMEDOUT);
 }
 
 /*
- * http_client_open() begins a connection to sa. Returns 0 or -errno; the
- * owner hears of later failures through ops->failed.
+ * http_client_open() starts to connect to sa. Returns 0 or -errno; later
+ * failures are reported through ops->failed.
  */
 int http_client_open(struct http_client *c, struct ev_loop *loop,
 		     const struct sockaddr_in *sa, double connect_timeout_s,
@@ -230,9 +239,9 @@
 }
 
 /*
- * http_client_send() sends one request, now or once connected. The answer
- * or a failure comes through ops; timeout_s counts from the sending. The
- * connection must be idle or connecting with nothing queued.
+ * http_client_send() sends one request, now or once connected. The response
+ * or a failure is reported through ops; timeout_s starts when the request is
+ * sent. The connection must be idle, or connecting with nothing queued.
  */
 void http_client_send(struct http_client *c, struct lstr bytes,
 		      double timeout_s, bool head_request)
@@ -254,15 +263,15 @@
 			buf_consume(&c->out, (size_t)n);
 		}
 	}
-	/* What went wrong shows again on the next event, outside the caller. */
+	/* Errors are reported from the event loop, not to this caller. */
 	watch(c, c->out.len ? EV_READ | EV_WRITE : EV_READ);
 }
 
 /*
- * http_client_linger() closes the sending half of a connection that waits for a
- * response, so that the peer sees the request as given up, and reads on for what the
- * peer had sent before it saw that: until it closes too or timeout_s is over. Returns
- * false when there is nothing to wait for.
+ * http_client_linger() shuts down the sending half of a connection that awaits
+ * a response, so that the peer sees the request as canceled. It keeps reading
+ * what the peer sent before that, until the peer closes or timeout_s has
+ * passed. Returns false if there is nothing to wait for.
  */
 bool http_client_linger(struct http_client *c, double timeout_s)
 {
--- a/http/conn.c
+++ b/http/conn.c
@@ -9,17 +9,17 @@
 #include "http/socket.h"
 
 enum {
-	READ_CHUNK = 4096,     /* bytes a read asks for */
-	AHEAD_MAX = 64 * 1024, /* bytes read ahead of a pending reply */
+	READ_CHUNK_BYTES = 4096,	/* per recv() */
+	PIPELINE_MAX_BYTES = 64 * 1024, /* buffered while a reply is pending */
 };
 
-/* A closed connection may still carry bytes to us for this long. */
+/* How long to wait for the peer to close after the last reply. */
 static const double LINGER_S = 1.0;
 
 static void conn_event(struct ev_loop *loop, ev_io *io, int revents);
 static void conn_input(struct http_conn *c);
 
-/* http_reason() names the status codes that an instance sends itself. */
+/* http_reason() returns the reason phrase of a status that instances send. */
 const char *http_reason(unsigned status)
 {
 	switch (status) {
@@ -46,19 +46,19 @@
 	}
 }
 
-/* http_conn_user() returns what http_conn_set_user() kept. */
+/* http_conn_user() returns the pointer set by http_conn_set_user(). */
 void *http_conn_user(const struct http_conn *c)
 {
 	return c->user;
 }
 
-/* http_conn_set_user() keeps the handler's own state with the connection. */
+/* http_conn_set_user() attaches the handler's state to the connection. */
 void http_conn_set_user(struct http_conn *c, void *user)
 {
 	c->user = user;
 }
 
-/* http_conn_free() closes a connection and forgets it. */
+/* http_conn_free() closes and frees a connection. */
 void http_conn_free(struct http_conn *c)
 {
 	struct http_server *s = c->server;
@@ -80,22 +80,23 @@
 }
 
 /*
- * http_conn_abort() closes a connection at once, without an answer. The
- * handler is not told.
+ * http_conn_abort() closes a connection without a reply and without calling
+ * ops->closed.
  */
 void http_conn_abort(struct http_conn *c)
 {
 	http_conn_free(c);
 }
 
-/* The caller is gone: tells the handler if it has the request. */
-static void conn_lost(struct http_conn *c)
+/* Notifies the handler if it has a pending request, and frees c. */
+static void conn_close_and_notify(struct http_conn *c)
 {
-	if (c->state == CONN_HANDLING && c->server->ops->gone)
-		c->server->ops->gone(c->server->priv, c);
+	if (c->state == CONN_HANDLING && c->server->ops->closed)
+		c->server->ops->closed(c->server->priv, c);
 	http_conn_free(c);
 }
 
+/* Sets the events that the socket is watched for; 0: none. */
 static void watch(struct http_conn *c, int events)
 {
 	if (c->io.events == events && ev_is_active(&c->io))
@@ -106,16 +107,17 @@
 		ev_io_start(c->server->loop, &c->io);
 }
 
-static void set_timer(struct http_conn *c, double after_s)
+/* Restarts the connection's timer; 0 stops it. */
+static void set_timer(struct http_conn *c, double timeout_s)
 {
 	ev_timer_stop(c->server->loop, &c->timer);
-	if (after_s <= 0)
+	if (timeout_s <= 0)
 		return;
-	ev_timer_set(&c->timer, after_s, 0);
+	ev_timer_set(&c->timer, timeout_s, 0);
 	ev_timer_start(c->server->loop, &c->timer);
 }
 
-/* Waits for the next request on a kept connection. */
+/* Waits for the next request; starts at once with bytes already read. */
 static void conn_idle(struct http_conn *c)
 {
 	c->state = CONN_IDLE;
@@ -132,9 +134,9 @@
 }
 
 /*
- * Everything is written. A connection with unread bytes is reset by close(),
- * which would take the answer with it; so only the sending half is closed
- * until the peer has closed too or LINGER_S passed.
+ * The reply is sent. close() would reset a connection with unread bytes, and
+ * the peer might lose the reply; so only the sending half is shut down until
+ * the peer closes or LINGER_S has passed.
  */
 static void conn_written(struct http_conn *c)
 {
@@ -152,6 +154,7 @@
 	set_timer(c, LINGER_S);
 }
 
+/* Sends as much pending output as the socket accepts. */
 static void conn_write(struct http_conn *c)
 {
 	ssize_t n = send(c->fd, c->out.ptr, c->out.len, MSG_NOSIGNAL);
@@ -172,12 +175,13 @@
 }
 
 /*
- * http_conn_reply() answers the request at hand. The connection is kept
- * unless the caller, the reply or the server's state asks to close it.
+ * http_conn_reply() replies to the current request. The connection is kept
+ * open unless the caller, the reply or the server requires closing it.
  */
 void http_conn_reply(struct http_conn *c, const struct http_reply *r)
 {
-	c->close_after = r->close || !c->keep_alive || c->server->last_answers;
+	c->close_after =
+		r->close || !c->keep_alive || c->server->disable_keep_alive;
 	buf_printf(&c->out, "HTTP/1.1 %u %s\r\n", r->status,
 		   http_reason(r->status));
 	buf_add_lstr(&c->out, r->headers);
@@ -191,8 +195,8 @@
 }
 
 /*
- * http_conn_reply_raw() answers the request at hand with bytes that the
- * caller made, be they a message or not: stand-ins misbehave with it.
+ * http_conn_reply_raw() replies to the current request with arbitrary bytes,
+ * which need not be valid HTTP. The stand-ins inject faults with it.
  */
 void http_conn_reply_raw(struct http_conn *c, struct lstr bytes, bool close)
 {
@@ -202,8 +206,8 @@
 	conn_write(c);
 }
 
-/* Refuses bytes that are no acceptable request and closes. */
-static void conn_refuse(struct http_conn *c, unsigned status)
+/* Replies to an invalid request and closes the connection. */
+static void conn_reject(struct http_conn *c, unsigned status)
 {
 	c->keep_alive = false;
 	c->head_request = false;
@@ -211,7 +215,8 @@
 			&(struct http_reply){.status = status, .close = true});
 }
 
-static unsigned status_of_error(ssize_t err)
+/* Maps a reader's error to the status of the reply. */
+static unsigned status_from_error(ssize_t err)
 {
 	if (err == -EFBIG)
 		return 413;
@@ -220,7 +225,7 @@
 	return 400;
 }
 
-/* A request is whole: hands it over. */
+/* Passes a complete request to the handler. */
 static void conn_dispatch(struct http_conn *c)
 {
 	struct http_message *m = http_reader_take(&c->reader);
@@ -235,10 +240,10 @@
 	c->server->ops->request(c->server->priv, c, m);
 }
 
-/* Callers that wait for leave to send their body get it. */
-static void grant_continue(struct http_conn *c)
+/* Sends 100 Continue if the request expects it. */
+static void send_continue(struct http_conn *c)
 {
-	struct lstr e = http_find(c->reader.msg, LSTR("expect"));
+	struct lstr e = http_find_header(c->reader.msg, LSTR("expect"));
 
 	if (e.ptr && lstr_eq_nocase(e, LSTR("100-continue")) &&
 	    !c->reader.msg->done)
@@ -246,27 +251,27 @@
 			    MSG_NOSIGNAL);
 }
 
-/* Feeds n bytes of the input; false when the connection was answered. */
+/* Parses n bytes of input; returns false if the request was rejected. */
 static bool feed(struct http_conn *c, size_t n)
 {
 	ssize_t used = http_reader_feed(&c->reader, c->in.ptr, n);
 
 	if (used < 0) {
-		conn_refuse(c, status_of_error(used));
+		conn_reject(c, status_from_error(used));
 		return false;
 	}
 	buf_consume(&c->in, (size_t)used);
 	return true;
 }
 
-/* Looks for a whole, proper head; true when it went to the reader. */
+/* Parses the head if it is complete and valid; returns whether it was. */
 static bool read_head(struct http_conn *c)
 {
 	size_t max = c->server->limits.head_max;
 	ptrdiff_t end = head_find_end(c->in.ptr, c->in.len, c->scanned);
 
 	if (end == 0 && max && c->in.len > max) {
-		conn_refuse(c, 431);
+		conn_reject(c, 431);
 		return false;
 	}
 	if (end == 0) {
@@ -274,25 +279,25 @@
 		return false;
 	}
 	if (end > 0 && max && (size_t)end > max) {
-		conn_refuse(c, 431);
+		conn_reject(c, 431);
 		return false;
 	}
 	if (end < 0 || head_check(c->in.ptr, (size_t)end)) {
-		conn_refuse(c, 400);
+		conn_reject(c, 400);
 		return false;
 	}
 	if (!feed(c, (size_t)end))
 		return false;
 	c->in_body = true;
-	grant_continue(c);
+	send_continue(c);
 	return true;
 }
 
-/* Goes on with what has been read. */
+/* Processes the input received so far. */
 static void conn_input(struct http_conn *c)
 {
 	if (c->state == CONN_IDLE) {
-		/* Blank lines before a request are skipped (RFC 9112, 2.2). */
+		/* Empty lines before a request are ignored (RFC 9112, 2.2). */
 		while (c->in.len >= 2 && !memcmp(c->in.ptr, "\r\n", 2))
 			buf_consume(&c->in, 2);
 		if (c->in.len == 0)
@@ -311,18 +316,20 @@
 		conn_dispatch(c);
 }
 
+/* Reads from the socket, up to PIPELINE_MAX_BYTES ahead of a reply. */
 static void conn_read(struct http_conn *c)
 {
-	if (c->state == CONN_HANDLING && c->in.len >= AHEAD_MAX) {
+	if (c->state == CONN_HANDLING && c->in.len >= PIPELINE_MAX_BYTES) {
 		watch(c, 0);
 		return;
 	}
-	ssize_t n = recv(c->fd, buf_room(&c->in, READ_CHUNK), READ_CHUNK, 0);
+	ssize_t n = recv(c->fd, buf_reserve(&c->in, READ_CHUNK_BYTES),
+			 READ_CHUNK_BYTES, 0);
 
 	if (n < 0 && (errno == EAGAIN || errno == EINTR))
 		return;
 	if (n <= 0) {
-		conn_lost(c);
+		conn_close_and_notify(c);
 		return;
 	}
 	if (c->state == CONN_LINGER)
@@ -332,6 +339,7 @@
 		conn_input(c);
 }
 
+/* Dispatches socket events. */
 static void conn_event(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct http_conn *c = io->data;
@@ -342,24 +350,25 @@
 		conn_read(c);
 }
 
+/* Replies 408 to an incomplete request; else closes the connection. */
 static void conn_timeout(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct http_conn *c = t->data;
 
 	if (c->state == CONN_READING)
-		conn_refuse(c, 408);
+		conn_reject(c, 408);
 	else
-		conn_lost(c);
+		conn_close_and_notify(c);
 }
 
-/* http_conn_new() takes an accepted socket into the server. */
+/* http_conn_new() adds an accepted socket to the server. */
 void http_conn_new(struct http_server *s, int fd)
 {
 	struct http_conn *c = calloc(1, sizeof(*c));
 
 	if (!c)
 		abort();
-	socket_tune(fd);
+	socket_set_nodelay(fd);
 	c->server = s;
 	c->fd = fd;
 	c->opened = ev_now(s->loop);
--- a/http/message.c
+++ b/http/message.c
@@ -6,13 +6,13 @@
 
 #include "http/message.h"
 
-/* lstr_eq_nocase() compares two strings, letters in either case. */
+/* lstr_eq_nocase() compares two strings, ignoring ASCII case. */
 bool lstr_eq_nocase(struct lstr a, struct lstr b)
 {
 	return a.len == b.len && !strncasecmp(a.ptr, b.ptr, a.len);
 }
 
-/* Moves the header line that was read into the message. */
+/* Adds the header line that was read, if any, to the message. */
 static void finish_header(struct http_reader *r)
 {
 	struct http_message *m = r->msg;
@@ -38,7 +38,7 @@
 	r->value.len = 0;
 }
 
-/* Counts head bytes against the limit; trailers after a body are dropped. */
+/* Appends head bytes to b within the limit; trailers are ignored. */
 static int add_head_bytes(struct http_reader *r, struct buf *b, const char *p,
 			  size_t n)
 {
@@ -53,6 +53,7 @@
 	return 0;
 }
 
+/* Callback for a part of the request target. */
 static int on_url(http_parser *p, const char *at, size_t n)
 {
 	struct http_reader *r = p->data;
@@ -60,6 +61,7 @@
 	return add_head_bytes(r, &r->target, at, n);
 }
 
+/* Callback for a part of a header name; completes the previous header. */
 static int on_field(http_parser *p, const char *at, size_t n)
 {
 	struct http_reader *r = p->data;
@@ -68,6 +70,7 @@
 	return add_head_bytes(r, &r->name, at, n);
 }
 
+/* Callback for a part of a header value. */
 static int on_value(http_parser *p, const char *at, size_t n)
 {
 	struct http_reader *r = p->data;
@@ -78,6 +81,7 @@
 	return add_head_bytes(r, &r->value, at, n);
 }
 
+/* Callback at the end of the head; checks the declared body length. */
 static int on_head_done(http_parser *p)
 {
 	struct http_reader *r = p->data;
@@ -96,6 +100,7 @@
 	return r->no_body ? 1 : 0;
 }
 
+/* Callback for a part of the body. */
 static int on_body(http_parser *p, const char *at, size_t n)
 {
 	struct http_reader *r = p->data;
@@ -109,6 +114,7 @@
 	return 0;
 }
 
+/* Callback at the end of the message; pauses the parser there. */
 static int on_complete(http_parser *p)
 {
 	struct http_reader *r = p->data;
@@ -128,7 +134,7 @@
 	.on_message_complete = on_complete,
 };
 
-/* http_reader_init() makes a reader for requests or responses. */
+/* http_reader_init() initializes a reader for requests or responses. */
 void http_reader_init(struct http_reader *r, enum http_parser_type type,
 		      struct http_limits limits)
 {
@@ -139,10 +145,10 @@
 }
 
 /*
- * http_reader_feed() reads up to n bytes of one message. It stops at the end
- * of the message (msg->done), so that what follows stays with the caller.
- * Returns how many bytes were taken, -EMSGSIZE or -EFBIG when a head or body
- * is over its limit, -EPROTO when the bytes are no message.
+ * http_reader_feed() parses up to n bytes of one message. It stops at the end
+ * of the message (msg->done) and leaves the bytes that follow to the caller.
+ * Returns the number of bytes consumed, -EMSGSIZE or -EFBIG if the head or body
+ * exceeds its limit, or -EPROTO for malformed input.
  */
 ssize_t http_reader_feed(struct http_reader *r, const char *p, size_t n)
 {
@@ -160,8 +166,8 @@
 }
 
 /*
- * http_reader_eof() tells the reader that the peer closed in order. Returns
- * 0 when that ends the message (a response without a length), else -EPROTO.
+ * http_reader_eof() reports an orderly close by the peer. Returns 0 if that
+ * ends the message (a response without a length), -EPROTO otherwise.
  */
 int http_reader_eof(struct http_reader *r)
 {
@@ -172,8 +178,8 @@
 }
 
 /*
- * http_reader_take() hands over the finished message and makes the reader
- * ready for the next one.
+ * http_reader_take() returns the complete message, which the caller owns, and
+ * resets the reader for the next one.
  */
 struct http_message *http_reader_take(struct http_reader *r)
 {
@@ -188,7 +194,7 @@
 	return m;
 }
 
-/* http_reader_free() drops a message read in part and the buffers. */
+/* http_reader_free() frees the buffers and a partially read message. */
 void http_reader_free(struct http_reader *r)
 {
 	http_message_free(r->msg);
@@ -198,7 +204,7 @@
 	buf_free(&r->target);
 }
 
-/* http_message_free() releases a message; NULL is fine. */
+/* http_message_free() frees a message; m may be NULL. */
 void http_message_free(struct http_message *m)
 {
 	if (!m)
@@ -208,8 +214,11 @@
 	free(m);
 }
 
-/* http_find() returns the value of the first header so named, or {NULL, 0}. */
-struct lstr http_find(const struct http_message *m, struct lstr name)
+/*
+ * http_find_header() returns the value of the first header of that name, or
+ * {NULL, 0}.
+ */
+struct lstr http_find_header(const struct http_message *m, struct lstr name)
 {
 	for (size_t i = 0; i < m->nheaders; i++) {
 		if (lstr_eq_nocase(m->headers[i].name, name))
@@ -218,8 +227,8 @@
 	return (struct lstr){NULL, 0};
 }
 
-/* Tells whether name is one of the comma-separated tokens of list. */
-static bool lists_token(struct lstr list, struct lstr name)
+/* Returns whether name is one of the comma-separated tokens of list. */
+static bool list_has_token(struct lstr list, struct lstr name)
 {
 	const char *p = list.ptr, *end = p + list.len;
 
@@ -238,9 +247,9 @@
 }
 
 /*
- * http_is_hop_by_hop() tells whether a header of m concerns only the
- * connection it came on (RFC 9110, 7.6.1) or frames the message, which the
- * sender of the next hop does anew.
+ * http_is_hop_by_hop() returns whether a header of m must not be forwarded: it
+ * applies to a single connection (RFC 9110, 7.6.1) or to the message framing,
+ * which each sender sets itself.
  */
 bool http_is_hop_by_hop(const struct http_message *m, struct lstr name)
 {
@@ -264,7 +273,7 @@
 	}
 	for (size_t i = 0; i < m->nheaders; i++) {
 		if (lstr_eq_nocase(m->headers[i].name, LSTR("connection")) &&
-		    lists_token(m->headers[i].value, name))
+		    list_has_token(m->headers[i].value, name))
 			return true;
 	}
 	return false;
--- a/http/socket.c
+++ b/http/socket.c
@@ -8,11 +8,14 @@
 #include "http/socket.h"
 #include "options/settings.h"
 
-/* Callers reconnect in crowds after a fault; none is to wait for a resend. */
-enum { LISTEN_QUEUE = 1024 };
+/*
+ * Large enough for all callers to reconnect at once after a fault without a SYN
+ * being dropped and retransmitted.
+ */
+enum { LISTEN_BACKLOG = 1024 };
 
-/* socket_addr() parses "a.b.c.d:port". Returns 0 or -EINVAL. */
-int socket_addr(const char *addr, struct sockaddr_in *sa)
+/* socket_parse_addr() parses "a.b.c.d:port". Returns 0 or -EINVAL. */
+int socket_parse_addr(const char *addr, struct sockaddr_in *sa)
 {
 	char host[INET_ADDRSTRLEN];
 	int port;
@@ -25,13 +28,13 @@
 	return inet_pton(AF_INET, host, &sa->sin_addr) == 1 ? 0 : -EINVAL;
 }
 
-/* socket_listen() opens a listening socket. Returns it or -errno. */
+/* socket_listen() opens a listening socket. Returns its fd or -errno. */
 int socket_listen(const char *addr)
 {
 	struct sockaddr_in sa;
 	int one = 1, fd, rc;
 
-	rc = socket_addr(addr, &sa);
+	rc = socket_parse_addr(addr, &sa);
 	if (rc)
 		return rc;
 	fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -39,7 +42,7 @@
 		return -errno;
 	setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
 	if (bind(fd, (struct sockaddr *)&sa, sizeof(sa)) ||
-	    listen(fd, LISTEN_QUEUE)) {
+	    listen(fd, LISTEN_BACKLOG)) {
 		rc = -errno;
 		close(fd);
 		return rc;
@@ -47,14 +50,14 @@
 	return fd;
 }
 
-/* socket_connect() begins a connection. Returns its descriptor or -errno. */
+/* socket_connect() starts to connect. Returns the fd or -errno. */
 int socket_connect(const struct sockaddr_in *sa)
 {
 	int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 
 	if (fd < 0)
 		return -errno;
-	socket_tune(fd);
+	socket_set_nodelay(fd);
 	if (connect(fd, (const struct sockaddr *)sa, sizeof(*sa)) &&
 	    errno != EINPROGRESS) {
 		int rc = -errno;
@@ -65,7 +68,7 @@
 	return fd;
 }
 
-/* socket_error() fetches the outcome of a connection attempt as -errno. */
+/* socket_error() returns the result of a connection attempt: 0 or -errno. */
 int socket_error(int fd)
 {
 	int err = 0;
@@ -76,8 +79,8 @@
 	return -err;
 }
 
-/* socket_tune() sends small messages at once. */
-void socket_tune(int fd)
+/* socket_set_nodelay() disables Nagle's algorithm. */
+void socket_set_nodelay(int fd)
 {
 	int one = 1;
 
@@ -85,19 +88,19 @@
 }
 
 /*
- * socket_detect_silence() makes a connection fail after about after_s + 2
- * seconds without any sign of the peer, by keep-alive probes while nothing
- * is sent and a time limit on sent bytes. A connection whose path lost track
- * of it stays open for ever otherwise.
+ * socket_set_keepalive() makes a connection fail after about timeout_s + 2
+ * seconds without a packet from the peer, through keep-alive probes while idle
+ * and a timeout for unacknowledged data. Otherwise a connection whose state a
+ * middlebox has dropped would stay open for ever.
  */
-void socket_detect_silence(int fd, int after_s)
+void socket_set_keepalive(int fd, int timeout_s)
 {
-	int one = 1, tries = 2, limit_ms = after_s * 1000;
+	int one = 1, tries = 2, timeout_ms = timeout_s * 1000;
 
 	setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPINTVL, &one, sizeof(one));
 	setsockopt(fd, IPPROTO_TCP, TCP_KEEPCNT, &tries, sizeof(tries));
-	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit_ms,
-		   sizeof(limit_ms));
+	setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
+		   sizeof(timeout_ms));
 }
--- a/misc/buf.c
+++ b/misc/buf.c
@@ -5,17 +5,17 @@
 
 #include "misc/buf.h"
 
-/* The first allocation in bytes; most heads fit into it. */
-enum { BUF_FIRST = 512 };
+/* Most message heads fit into the initial allocation. */
+enum { BUF_INITIAL_BYTES = 512 };
 
 /*
- * buf_room() makes sure that n more bytes fit and returns where they go;
- * the caller adds to len what it wrote. Allocation failure aborts.
+ * buf_reserve() makes room for n more bytes and returns a pointer to it; the
+ * caller adds to len what it wrote. Aborts when out of memory.
  */
-char *buf_room(struct buf *b, size_t n)
+char *buf_reserve(struct buf *b, size_t n)
 {
 	if (b->cap - b->len < n) {
-		size_t cap = b->cap ? b->cap : BUF_FIRST;
+		size_t cap = b->cap ? b->cap : BUF_INITIAL_BYTES;
 
 		while (cap - b->len < n)
 			cap *= 2;
@@ -32,7 +32,7 @@
 {
 	if (n == 0)
 		return;
-	memcpy(buf_room(b, n), p, n);
+	memcpy(buf_reserve(b, n), p, n);
 	b->len += n;
 }
 
@@ -51,14 +51,14 @@
 	int n = vsnprintf(NULL, 0, fmt, ap);
 
 	va_end(ap);
-	buf_room(b, (size_t)n + 1);
+	buf_reserve(b, (size_t)n + 1);
 	va_start(ap, fmt);
 	vsnprintf(b->ptr + b->len, (size_t)n + 1, fmt, ap);
 	va_end(ap);
 	b->len += (size_t)n;
 }
 
-/* buf_consume() drops the first n bytes. */
+/* buf_consume() removes the first n bytes. */
 void buf_consume(struct buf *b, size_t n)
 {
 	if (n >= b->len) {
@@ -69,7 +69,7 @@
 	b->len -= n;
 }
 
-/* buf_free() gives the memory back; the buffer may be used again. */
+/* buf_free() releases the memory; the buffer may be reused. */
 void buf_free(struct buf *b)
 {
 	free(b->ptr);
--- a/misc/codec.c
+++ b/misc/codec.c
@@ -3,11 +3,11 @@
 
 #include "misc/codec.h"
 
-/* Up to here a floating-point number holds every whole number. */
-static const double WHOLE_MAX = 9007199254740992.0;
+/* 2^53: a double represents every integer up to here. */
+static const double DOUBLE_EXACT_INT_MAX = 9007199254740992.0;
 
-/* codec_text() views a string or binary value; {NULL, 0} for others. */
-struct lstr codec_text(const msgpack_object *o)
+/* codec_str() borrows a string or binary value; {NULL, 0} for other types. */
+struct lstr codec_str(const msgpack_object *o)
 {
 	if (o && o->type == MSGPACK_OBJECT_STR)
 		return (struct lstr){o->via.str.ptr, o->via.str.size};
@@ -16,7 +16,7 @@
 	return (struct lstr){NULL, 0};
 }
 
-/* codec_get() finds a member of a map; NULL when there is none. */
+/* codec_get() returns a member of a map, or NULL. */
 const msgpack_object *codec_get(const msgpack_object *map, const char *name)
 {
 	if (!map || map->type != MSGPACK_OBJECT_MAP)
@@ -24,16 +24,17 @@
 	for (uint32_t i = 0; i < map->via.map.size; i++) {
 		const msgpack_object_kv *kv = &map->via.map.ptr[i];
 
-		if (lstr_eq(codec_text(&kv->key), lstr0(name)))
+		if (lstr_eq(codec_str(&kv->key), lstr0(name)))
 			return &kv->val;
 	}
 	return NULL;
 }
 
-/* codec_lstr() reads a text member. Returns whether it was there. */
-bool codec_lstr(const msgpack_object *map, const char *name, struct lstr *out)
+/* codec_get_lstr() reads a string member. Returns whether it is present. */
+bool codec_get_lstr(const msgpack_object *map, const char *name,
+		    struct lstr *out)
 {
-	struct lstr s = codec_text(codec_get(map, name));
+	struct lstr s = codec_str(codec_get(map, name));
 
 	if (!s.ptr)
 		return false;
@@ -41,8 +42,8 @@
 	return true;
 }
 
-/* codec_uint() reads a whole number that isn't negative. */
-bool codec_uint(const msgpack_object *map, const char *name, uint64_t *out)
+/* codec_get_uint() reads a non-negative integer member. */
+bool codec_get_uint(const msgpack_object *map, const char *name, uint64_t *out)
 {
 	const msgpack_object *o = codec_get(map, name);
 
@@ -54,7 +55,7 @@
 	}
 	if ((o->type == MSGPACK_OBJECT_FLOAT64 ||
 	     o->type == MSGPACK_OBJECT_FLOAT32) &&
-	    o->via.f64 >= 0 && o->via.f64 <= WHOLE_MAX &&
+	    o->via.f64 >= 0 && o->via.f64 <= DOUBLE_EXACT_INT_MAX &&
 	    floor(o->via.f64) == o->via.f64) {
 		*out = (uint64_t)o->via.f64;
 		return true;
@@ -62,20 +63,20 @@
 	return false;
 }
 
-/* codec_buf_write() lets a packer write into a struct buf. */
+/* codec_buf_write() is the msgpack_packer callback for a struct buf. */
 int codec_buf_write(void *buf, const char *p, size_t n)
 {
 	buf_add(buf, p, n);
 	return 0;
 }
 
-/* codec_pack_lstr() writes a string. */
+/* codec_pack_lstr() packs a string. */
 void codec_pack_lstr(msgpack_packer *pk, struct lstr s)
 {
 	msgpack_pack_str_with_body(pk, s.ptr, s.len);
 }
 
-/* codec_pack_cstr() writes a NUL-terminated string. */
+/* codec_pack_cstr() packs a NUL-terminated string. */
 void codec_pack_cstr(msgpack_packer *pk, const char *s)
 {
 	codec_pack_lstr(pk, lstr0(s));
--- a/misc/mailbox.h
+++ b/misc/mailbox.h
@@ -1,6 +1,7 @@
 /*
- * A one-way queue between two threads with event loops: Concurrency Kit's
- * single-producer ring, and a wake-up of the receiver's loop.
+ * Message queue from one thread to another thread's event loop: a lock-free
+ * single-producer, single-consumer ring (Concurrency Kit) and an ev_async that
+ * wakes the receiver.
  */
 #ifndef MP_MISC_MAILBOX_H
 #define MP_MISC_MAILBOX_H
@@ -12,9 +13,9 @@
 
 enum { MAILBOX_SLOTS = 1024 }; /* a power of two */
 
-struct mail {
+struct mailbox_msg {
 	int kind;
-	void *data; /* belongs to the receiver */
+	void *data; /* owned by the receiver */
 };
 
 struct mailbox {
@@ -22,12 +23,13 @@
 	ck_ring_buffer_t buffer[MAILBOX_SLOTS];
 	ev_async wake;
 	struct ev_loop *loop; /* the receiver's */
-	void (*receive)(void *priv, struct mail *m);
+	void (*receive)(void *priv, struct mailbox_msg *m);
 	void *priv;
 };
 
 void mailbox_init(struct mailbox *mb, struct ev_loop *loop,
-		  void (*receive)(void *priv, struct mail *m), void *priv);
+		  void (*receive)(void *priv, struct mailbox_msg *m),
+		  void *priv);
 int mailbox_send(struct mailbox *mb, int kind, void *data);
 
 #endif
--- a/options/deploy.h
+++ b/options/deploy.h
@@ -1,8 +1,8 @@
 /*
- * The deployment as the settings file describes it: the platform stand-in,
- * the settings every entry instance shares, each service with its workers,
- * and each entry instance with its address and data centre. Every role
- * reads the same file and takes its own part.
+ * A local deployment as described by its settings file: the platform stand-in,
+ * the settings shared by all entry instances, each service with its workers,
+ * and each entry instance with its address and data centre. All roles read the
+ * same file.
  */
 #ifndef MP_OPTIONS_DEPLOY_H
 #define MP_OPTIONS_DEPLOY_H
@@ -35,11 +35,11 @@
 	int slots;
 	int connections;
 	int base_port;
-	int proxy_offset; /* they tell ports so much higher; 0: their own */
+	int proxy_offset; /* added to advertised ports; 0: no proxy */
 	int work_ms;
 	bool protected_action;
-	bool hangs;	  /* when full it never answers, instead of refusing */
-	char *fatal_word; /* in a path or body: it ends the server; "": none */
+	bool hangs;	  /* never responds when full, instead of refusing */
+	char *fatal_word; /* in a path or body: crashes the server; "": none */
 	char **dcs;
 };
 
@@ -63,8 +63,8 @@
 const struct service_opts *deploy_service(const struct deploy *d,
 					  const char *name);
 const struct entry_opts *deploy_entry(const struct deploy *d, const char *name);
-int deploy_worker_told(const struct service_opts *svc, int index, char *buf,
-		       size_t len);
+int deploy_worker_advertised_addr(const struct service_opts *svc, int index,
+				  char *buf, size_t len);
 int deploy_worker_addr(const struct service_opts *svc, int index, char *buf,
 		       size_t len);
 
--- a/options/instance.c
+++ b/options/instance.c
@@ -36,7 +36,7 @@
 	OPT_END,
 };
 
-/* Defaults are on the careful side of what the platform usually names. */
+/* The defaults are more conservative than the platform's usual values. */
 static const struct opt_def bounds_opts[] = {
 	{"drain_ms", OPT_REAL, FIELD(bounds.drain_ms), "2000", 0, 0},
 	{"config_ms", OPT_REAL, FIELD(bounds.config_ms), "2000", 0, 0},
@@ -51,7 +51,7 @@
 	OPT_END,
 };
 
-/* Mechanisms that may be switched off, see core/mechanisms.h. */
+/* Mechanisms that can be disabled, see core/mechanisms.h. */
 static const struct opt_def policy_opts[] = {
 	{"ask", OPT_BOOL, FIELD(policy.ask), "true", 0, 0},
 	{"learn", OPT_BOOL, FIELD(policy.learn), "true", 0, 0},
@@ -70,8 +70,8 @@
 };
 
 /*
- * instance_settings_load() reads and checks a settings file. Every problem is
- * logged with its place. Returns 0 or -EINVAL.
+ * instance_settings_load() reads and validates a settings file. Every error is
+ * logged with its location. Returns 0 or -EINVAL.
  */
 int instance_settings_load(const char *path, struct instance_settings *out)
 {
@@ -83,7 +83,7 @@
 	findings_init(&f);
 	if (!path)
 		findings_add(&f, "(settings)", 0, NULL,
-			     "no file named: use --settings or "
+			     "no settings file: use --settings or "
 			     "MIMOSAPITCH_CONFIG");
 	else if (!settings_open(&s, path, NULL, &f)) {
 		settings_read_group(&s, "instance", instance_opts, out, &f);
@@ -95,7 +95,7 @@
 		if (strcmp(out->log_level, "info") &&
 		    strcmp(out->log_level, "notice"))
 			findings_add(&f, path,
-				     settings_line_of(s.text, "log", "level"),
+				     settings_find_line(s.text, "log", "level"),
 				     "level", "'%s' is not info or notice",
 				     out->log_level);
 		settings_close(&s);
@@ -105,62 +105,63 @@
 	return rc;
 }
 
-static void text_difference(const char *name, const char *a, const char *b,
-			    struct buf *out)
+/* Appends a string that differs. */
+static void diff_text(const char *name, const char *a, const char *b,
+		      struct buf *out)
 {
 	if (g_strcmp0(a, b))
 		buf_printf(out, " %s=%s->%s", name, a ? a : "-", b ? b : "-");
 }
 
-static void bool_difference(const char *name, bool a, bool b, struct buf *out)
+/* Appends a boolean that differs. */
+static void diff_bool(const char *name, bool a, bool b, struct buf *out)
 {
 	if (a != b)
 		buf_printf(out, " %s=%s->%s", name, a ? "true" : "false",
 			   b ? "true" : "false");
 }
 
-/* Names the options of a table whose values differ. */
-static void group_differences(const struct opt_def *opts,
-			      const struct instance_settings *a,
-			      const struct instance_settings *b,
-			      struct buf *out)
+/* Appends the options of a table whose values differ. */
+static void diff_group(const struct opt_def *opts,
+		       const struct instance_settings *a,
+		       const struct instance_settings *b, struct buf *out)
 {
 	for (const struct opt_def *o = opts; o->key; o++) {
 		const void *x = (const char *)a + o->offset;
 		const void *y = (const char *)b + o->offset;
 
 		if (o->type == OPT_BOOL)
-			bool_difference(o->key, *(const bool *)x,
-					*(const bool *)y, out);
+			diff_bool(o->key, *(const bool *)x, *(const bool *)y,
+				  out);
 		else if (o->type != OPT_REAL)
-			text_difference(o->key, *(char *const *)x,
-					*(char *const *)y, out);
+			diff_text(o->key, *(char *const *)x, *(char *const *)y,
+				  out);
 		else if (*(const double *)x != *(const double *)y)
 			buf_printf(out, " %s=%g->%g", o->key,
 				   *(const double *)x, *(const double *)y);
 	}
 }
 
-/* instance_settings_differences() appends " key=old->new" for each. */
-void instance_settings_differences(const struct instance_settings *a,
-				   const struct instance_settings *b,
-				   struct buf *out)
+/* instance_settings_diff() appends " key=old->new" for each difference. */
+void instance_settings_diff(const struct instance_settings *a,
+			    const struct instance_settings *b, struct buf *out)
 {
-	group_differences(instance_opts, a, b, out);
-	group_differences(listen_opts, a, b, out);
-	group_differences(platform_opts, a, b, out);
-	group_differences(log_opts, a, b, out);
-	group_differences(bounds_opts, a, b, out);
-	group_differences(policy_opts, a, b, out);
+	diff_group(instance_opts, a, b, out);
+	diff_group(listen_opts, a, b, out);
+	diff_group(platform_opts, a, b, out);
+	diff_group(log_opts, a, b, out);
+	diff_group(bounds_opts, a, b, out);
+	diff_group(policy_opts, a, b, out);
 }
 
 /*
- * instance_settings_take_over() takes over what may change in a running
- * process: the log level and the bounds. The window of the retry budget stays:
- * what was spent is counted in parts of it. Addresses and names stay too.
+ * instance_settings_apply_reload() applies the settings that may change in a
+ * running process: the log level and the bounds, except the retry budget's
+ * window, since the budget counts in fractions of it. All others need a
+ * restart.
  */
-void instance_settings_take_over(struct instance_settings *s,
-				 const struct instance_settings *fresh)
+void instance_settings_apply_reload(struct instance_settings *s,
+				    const struct instance_settings *fresh)
 {
 	double window_s = s->bounds.retry_window_s;
 
@@ -169,22 +170,22 @@
 	s->log_level = fresh->log_level;
 }
 
-/* Ports of a local instance, counted from that of its own interface. */
+/* Port offsets of a local instance from its native API's port. */
 enum {
-	PORT_CALLERS = 1000,
-	PORT_READY = 2000,
-	PORT_DIRECTORY = 3000,
-	PORT_METRICS = 4000,
-	PORT_PEERS = 5000,
+	PORT_OFFSET_CALLERS = 1000,
+	PORT_OFFSET_READY = 2000,
+	PORT_OFFSET_DIRECTORY = 3000,
+	PORT_OFFSET_METRICS = 4000,
+	PORT_OFFSET_PEERS = 5000,
 };
 
 /*
- * instance_settings_of_deploy() makes the settings of one instance of a local
- * deployment: its own interface stands at the address that the deployment
- * names, the rest at ports counted from there. Returns 0 or -ENOENT.
+ * instance_settings_from_deploy() builds the settings of an instance of a local
+ * deployment. The native API listens on the address from the deployment, the
+ * other servers at offsets from its port. Returns 0 or -ENOENT.
  */
-int instance_settings_of_deploy(const struct deploy *d, const char *name,
-				struct instance_settings *out)
+int instance_settings_from_deploy(const struct deploy *d, const char *name,
+				  struct instance_settings *out)
 {
 	const struct entry_opts *en = deploy_entry(d, name);
 	char host[64];
@@ -199,17 +200,22 @@
 	out->region = g_strdup("");
 	out->ip = g_strdup(host);
 	out->own = g_strdup(en->listen);
-	out->callers = g_strdup_printf("%s:%d", host, port + PORT_CALLERS);
-	out->ready = g_strdup_printf("%s:%d", host, port + PORT_READY);
-	out->directory = g_strdup_printf("%s:%d", host, port + PORT_DIRECTORY);
-	out->metrics = g_strdup_printf("%s:%d", host, port + PORT_METRICS);
-	out->peers = g_strdup_printf("%s:%d", host, port + PORT_PEERS);
+	out->callers =
+		g_strdup_printf("%s:%d", host, port + PORT_OFFSET_CALLERS);
+	out->ready = g_strdup_printf("%s:%d", host, port + PORT_OFFSET_READY);
+	out->directory =
+		g_strdup_printf("%s:%d", host, port + PORT_OFFSET_DIRECTORY);
+	out->metrics =
+		g_strdup_printf("%s:%d", host, port + PORT_OFFSET_METRICS);
+	out->peers = g_strdup_printf("%s:%d", host, port + PORT_OFFSET_PEERS);
 	out->store = g_strdup(d->entry.platform);
 	out->heartbeat_ms = 1500;
 	out->log_level = g_strdup(d->entry.log_level);
 	out->policy = mechanisms;
-	/* What the users' platform promises today, but for the questions:
-	 * stand-ins work in milliseconds and get many more requests. */
+	/*
+	 * As the platform sets them today, except the probe rate: stand-ins
+	 * serve a request in milliseconds and get many more of them.
+	 */
 	out->bounds = (struct bounds){
 		.drain_ms = 2000,
 		.config_ms = 2000,
--- a/tests/bench.h
+++ b/tests/bench.h
@@ -243,8 +243,8 @@
 				  struct http_message *m)
 {
 	struct server *s = priv;
-	struct lstr id = http_find(m, LSTR("Attempt-Id"));
-	struct lstr wanted_id = http_find(m, LSTR("Target-Instance"));
+	struct lstr id = http_find_header(m, LSTR("Attempt-Id"));
+	struct lstr wanted_id = http_find_header(m, LSTR("Target-Instance"));
 	bool health = lstr_eq(m->target, LSTR("/health"));
 	struct job *j;
 
@@ -324,7 +324,7 @@
 	char addr[32];
 
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", BENCH_PORT + i);
-	socket_addr(addr, &e.addr);
+	socket_parse_addr(addr, &e.addr);
 	snprintf(e.id, sizeof(e.id), "i-%d", i);
 	strcpy(e.service, "harta");
 	strcpy(e.dc, "dc-1");
@@ -352,7 +352,7 @@
 	return g_strdup_printf("127.0.0.1:%d", BENCH_PORT + 50 + i);
 }
 
-static inline void ignore_mail(void *priv, struct mail *m)
+static inline void ignore_mail(void *priv, struct mailbox_msg *m)
 {
 }
 
--- a/tests/test_backend_watch.c
+++ b/tests/test_backend_watch.c
@@ -23,7 +23,7 @@
 {
 	static struct store_endpoint unreachable;
 
-	socket_addr("127.0.0.1:1", &unreachable.addr);
+	socket_parse_addr("127.0.0.1:1", &unreachable.addr);
 	backend_watch_start(w, ev_default_loop(0), &unreachable, on_changed,
 			    on_read_done, NULL);
 }
--- a/tests/test_crash_check.c
+++ b/tests/test_crash_check.c
@@ -19,7 +19,7 @@
 static struct crash_notice notices[NOTICES_MAX];
 static unsigned notice_count;
 
-static void on_notice(void *priv, struct mail *m)
+static void on_notice(void *priv, struct mailbox_msg *m)
 {
 	if (m->kind != FROM_TRAFFIC_CRASH)
 		return;
@@ -457,6 +457,6 @@
 		cmocka_unit_test(test_off),
 	};
 
-	mp_log_quiet();
+	mp_log_critical_only();
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -83,7 +83,7 @@
 					   on_peer, in),
 			 0);
 	snprintf(addr, sizeof(addr), "127.0.0.1:%d", STORE_PORT);
-	socket_addr(addr, &in->store.addr);
+	socket_parse_addr(addr, &in->store.addr);
 	crash_watch_start(&in->watch, f->loop, &in->store, &in->channel,
 			  on_verdict, in);
 }
@@ -332,6 +332,6 @@
 		cmocka_unit_test(test_behind_hubs),
 	};
 
-	mp_log_quiet();
+	mp_log_critical_only();
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_event.c
+++ b/tests/test_event.c
@@ -1,6 +1,6 @@
 /*
- * Tests of common/event: what a line looks like, the bound on the rate, and
- * that a reader who has stopped reading delays nobody.
+ * Tests of common/event: line format, rate limit, log level, and that a reader
+ * that stops reading doesn't block the process.
  */
 #include "tests/unit.h"
 
@@ -10,14 +10,15 @@
 #include "common/event.h"
 #include "misc/clock.h"
 
-/* Puts a pipe in the place of standard output. */
-struct swap {
+/* Standard output replaced by a pipe. */
+struct captured_stdout {
 	int saved, reader;
 };
 
-static struct swap swap_stdout(void)
+/* Replaces standard output with a pipe. */
+static struct captured_stdout capture_stdout(void)
 {
-	struct swap s;
+	struct captured_stdout s;
 	int p[2];
 
 	assert_int_equal(pipe(p), 0);
@@ -30,14 +31,15 @@
 	return s;
 }
 
-static void swap_back(struct swap *s)
+/* Undoes capture_stdout(). */
+static void restore_stdout(struct captured_stdout *s)
 {
 	dup2(s->saved, STDOUT_FILENO);
 	close(s->saved);
 	close(s->reader);
 }
 
-/* Waits for the next second, so that its allowance is whole. */
+/* Waits for the next second, whose rate limit is unused. */
 static void next_second(void)
 {
 	struct timespec t;
@@ -46,6 +48,7 @@
 	usleep((useconds_t)(1000000 - t.tv_nsec / 1000));
 }
 
+/* Reads what is available as a string. */
 static size_t read_all(int fd, char *buf, size_t max)
 {
 	size_t n = 0;
@@ -57,27 +60,28 @@
 	return n;
 }
 
+/* Format of a log line. */
 static void test_line(void **state)
 {
 	static char buf[4096];
-	struct swap s = swap_stdout();
+	struct captured_stdout s = capture_stdout();
 
 	mp_event(EV_REQUEST_REFUSED, G_LOG_LEVEL_INFO, "id=%s why=%s", "a-1",
 		 "no room");
 	read_all(s.reader, buf, sizeof(buf));
-	swap_back(&s);
+	restore_stdout(&s);
 	assert_non_null(strstr(buf, " ev=412 "));
 	assert_non_null(
 		strstr(buf, " level=info dropped=0 id=a-1 why=no room\n"));
 	assert_int_equal(strncmp(buf, "ts=", 3), 0);
 }
 
-/* A storm: the bound holds, and the next line tells how many are missing. */
+/* The rate limit holds, and the next line reports the dropped lines. */
 static void test_rate(void **state)
 {
 	static char buf[1 << 20];
-	struct swap s = swap_stdout();
-	guint64 lost = mp_log_lost();
+	struct captured_stdout s = capture_stdout();
+	guint64 lost = mp_log_lines_lost();
 	int lines = 0;
 
 	next_second();
@@ -86,12 +90,12 @@
 		if (i % 100 == 0)
 			read_all(s.reader, buf, sizeof(buf));
 	}
-	lost = mp_log_lost() - lost;
+	lost = mp_log_lines_lost() - lost;
 	read_all(s.reader, buf, sizeof(buf));
 	next_second();
 	mp_event(EV_REQUEST_SENT, G_LOG_LEVEL_INFO, "after");
 	read_all(s.reader, buf, sizeof(buf));
-	swap_back(&s);
+	restore_stdout(&s);
 	for (char *p = buf; (p = strchr(p, '\n')); p++)
 		lines++;
 	assert_int_equal(lines, 1);
@@ -99,11 +103,11 @@
 	assert_non_null(strstr(buf, "dropped=1600 after"));
 }
 
-/* Nobody reads: 20,000 lines take no longer than their formatting. */
-static void test_blocked_reader(void **state)
+/* Without a reader, 20,000 lines take no longer than formatting them. */
+static void test_reader_stopped(void **state)
 {
-	struct swap s = swap_stdout();
-	guint64 lost = mp_log_lost();
+	struct captured_stdout s = capture_stdout();
+	guint64 lost = mp_log_lines_lost();
 	char text[900];
 	int64_t t0;
 
@@ -114,24 +118,25 @@
 	for (int i = 0; i < 20000; i++)
 		mp_event(EV_REQUEST_SENT, G_LOG_LEVEL_INFO, "%s", text);
 	t0 = clock_ms() - t0;
-	swap_back(&s);
+	restore_stdout(&s);
 	assert_true(t0 < 2000);
-	/* A pipe holds 64 KB, some 60 of these. */
-	assert_true(mp_log_lost() - lost > 19000);
+	/* A pipe holds 64 KB, about 60 of these lines. */
+	assert_true(mp_log_lines_lost() - lost > 19000);
 }
 
+/* Level notice omits the events of single requests. */
 static void test_level(void **state)
 {
 	static char buf[4096];
-	struct swap s = swap_stdout();
+	struct captured_stdout s = capture_stdout();
 
 	next_second();
 	assert_int_equal(mp_log_set_level("notice"), 0);
 	mp_event(EV_REQUEST_SENT, G_LOG_LEVEL_INFO, "one request");
-	mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE, "a server");
+	mp_event(EV_MEMBER_REMOVED, G_LOG_LEVEL_MESSAGE, "a server");
 	assert_int_equal(mp_log_set_level("info"), 0);
 	read_all(s.reader, buf, sizeof(buf));
-	swap_back(&s);
+	restore_stdout(&s);
 	assert_null(strstr(buf, "one request"));
 	assert_non_null(strstr(buf, "a server"));
 	assert_int_not_equal(mp_log_set_level("loud"), 0);
@@ -142,7 +147,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_line),
 		cmocka_unit_test(test_rate),
-		cmocka_unit_test(test_blocked_reader),
+		cmocka_unit_test(test_reader_stopped),
 		cmocka_unit_test(test_level),
 	};
 
--- a/tests/test_hist.c
+++ b/tests/test_hist.c
@@ -17,23 +17,23 @@
 	return x < y ? -1 : x > y;
 }
 
-/* Every value lies at or below its bucket's upper bound, above the last. */
+/* A value is at most its bucket's upper bound and above the previous one. */
 static void test_bucket_bounds(void **state)
 {
 	GRand *rnd = g_rand_new_with_seed(1);
 
 	for (int i = 0; i < 100000; i++) {
 		uint64_t v = g_rand_int(rnd) >> g_rand_int_range(rnd, 0, 31);
-		unsigned b = hist_bucket_of(v);
+		unsigned b = hist_bucket_index(v);
 
-		assert_true(v <= hist_bucket_high(b));
+		assert_true(v <= hist_bucket_max_us(b));
 		if (b > 0)
-			assert_true(v > hist_bucket_high(b - 1));
+			assert_true(v > hist_bucket_max_us(b - 1));
 	}
 	g_rand_free(rnd);
 }
 
-/* Quantiles stay within 1/16 of the exact ones, on seeded random data. */
+/* Quantiles of random data are at most 1/16 above the exact ones. */
 static void test_quantile_error(void **state)
 {
 	enum { N = 20000 };
--- a/tests/test_instance.c
+++ b/tests/test_instance.c
@@ -1,6 +1,6 @@
 /*
- * Tests of options/instance: the template that the platform renders, figures
- * that it leaves empty, findings with their places.
+ * Tests of options/instance: the template that the platform renders, variables
+ * that it leaves unset, invalid settings and reloads.
  */
 #include "tests/unit.h"
 
@@ -11,7 +11,7 @@
 #include "options/deploy.h"
 #include "options/instance.h"
 
-/* What the platform would put for a name; NULL: nothing. */
+/* A template variable and the value that the platform would render. */
 struct value {
 	const char *name, *text;
 };
@@ -38,6 +38,7 @@
 	{"bounds.probesPerS", "60"},
 };
 
+/* Returns a variable's value, or "" for the one in `unset`. */
 static const char *value_of(const char *name, size_t len, const char *unset)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(values); i++) {
@@ -47,11 +48,11 @@
 				       ? ""
 				       : values[i].text;
 	}
-	fail_msg("the template asks for %.*s", (int)len, name);
+	fail_msg("unknown template variable %.*s", (int)len, name);
 	return NULL;
 }
 
-/* Renders deploy/instance.ini; `unset` stays empty. Returns its path. */
+/* Renders deploy/instance.ini, with `unset` empty. Returns its path. */
 static char *render(const char *unset)
 {
 	char *text, *path = g_strdup("/tmp/mp-instance-XXXXXX");
@@ -80,6 +81,7 @@
 	return path;
 }
 
+/* Values of the rendered template reach the settings. */
 static void test_template(void **state)
 {
 	struct instance_settings s;
@@ -100,8 +102,8 @@
 	g_free(path);
 }
 
-/* A platform that promises less names fewer figures. */
-static void test_figure_left_empty(void **state)
+/* A platform that guarantees less leaves optional variables unset. */
+static void test_empty_optional_values(void **state)
 {
 	struct instance_settings s;
 	char *path = render("bounds.probesPerS");
@@ -116,20 +118,20 @@
 	assert_true(s.heartbeat_ms == 1500);
 	unlink(path);
 	g_free(path);
-	/* Without the word it is a restart, which is in more of a hurry. */
+	/* The default is a restart, which must become ready sooner. */
 	path = render("firstStart");
 	assert_int_equal(instance_settings_load(path, &s), 0);
 	assert_false(s.first_start);
 	unlink(path);
 	g_free(path);
-	/* An address is not a figure: without it nothing starts. */
+	/* Addresses are required. */
 	path = render("platform.address");
 	assert_int_equal(instance_settings_load(path, &s), -EINVAL);
 	unlink(path);
 	g_free(path);
 }
 
-/* Loads the template's settings with some lines more. */
+/* Loads the rendered template with extra lines appended. */
 static int load_with(const char *lines, struct instance_settings *s)
 {
 	char *path = render(NULL);
@@ -145,7 +147,7 @@
 	return rc;
 }
 
-/* Each mechanism is on unless the settings switch it off, by a known word. */
+/* Mechanisms are enabled by default; unknown ones and values are errors. */
 static void test_policy(void **state)
 {
 	struct instance_settings s;
@@ -158,7 +160,7 @@
 	assert_int_equal(load_with("[policy]\nmagic = true\n", &s), -EINVAL);
 }
 
-/* A reload says what differs. */
+/* Differences between two loaded settings are listed. */
 static void test_differences(void **state)
 {
 	struct instance_settings a, b;
@@ -167,11 +169,11 @@
 
 	assert_int_equal(instance_settings_load(path, &a), 0);
 	assert_int_equal(instance_settings_load(path, &b), 0);
-	instance_settings_differences(&a, &b, &out);
+	instance_settings_diff(&a, &b, &out);
 	assert_int_equal(out.len, 0);
 	b.bounds.drain_ms = 2500;
 	b.callers = "10.9.9.9:1";
-	instance_settings_differences(&a, &b, &out);
+	instance_settings_diff(&a, &b, &out);
 	assert_true(lstr_eq(buf_lstr(&out),
 			    LSTR(" callers=10.1.0.18:8381->10.9.9.9:1"
 				 " drain_ms=2000->2500")));
@@ -180,8 +182,8 @@
 	g_free(path);
 }
 
-/* A running process takes over bounds and log level, and nothing else. */
-static void test_take_over(void **state)
+/* A reload applies the bounds and the log level, and nothing else. */
+static void test_apply_reload(void **state)
 {
 	struct instance_settings a, b;
 	char *path = render(NULL);
@@ -193,11 +195,11 @@
 	b.bounds.retry_window_s = 20;
 	b.log_level = "notice";
 	b.callers = "10.9.9.9:1";
-	instance_settings_take_over(&a, &b);
+	instance_settings_apply_reload(&a, &b);
 	assert_true(a.bounds.retry_slack == 90);
 	assert_string_equal(a.log_level, "notice");
-	/* What is left waits for the next start. */
-	instance_settings_differences(&a, &b, &out);
+	/* The remaining differences need a restart. */
+	instance_settings_diff(&a, &b, &out);
 	assert_true(lstr_eq(buf_lstr(&out),
 			    LSTR(" callers=10.1.0.18:8381->10.9.9.9:1"
 				 " retry_window_s=10->20")));
@@ -215,31 +217,32 @@
 			 -EINVAL);
 }
 
-static void test_of_deploy(void **state)
+/* Addresses of an instance of a local deployment. */
+static void test_from_deploy(void **state)
 {
 	struct instance_settings s;
 	struct deploy d;
 
 	assert_int_equal(deploy_load(NULL, &d), 0);
-	assert_int_equal(instance_settings_of_deploy(&d, "e2", &s), 0);
+	assert_int_equal(instance_settings_from_deploy(&d, "e2", &s), 0);
 	assert_string_equal(s.own, "127.0.0.1:7102");
 	assert_string_equal(s.callers, "127.0.0.1:8102");
-	assert_int_equal(instance_settings_of_deploy(&d, "e9", &s), -ENOENT);
+	assert_int_equal(instance_settings_from_deploy(&d, "e9", &s), -ENOENT);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(test_template),
-		cmocka_unit_test(test_figure_left_empty),
+		cmocka_unit_test(test_empty_optional_values),
 		cmocka_unit_test(test_policy),
 		cmocka_unit_test(test_differences),
-		cmocka_unit_test(test_take_over),
+		cmocka_unit_test(test_apply_reload),
 		cmocka_unit_test(test_no_file),
-		cmocka_unit_test(test_of_deploy),
+		cmocka_unit_test(test_from_deploy),
 	};
 
 	mp_log_init("test");
-	mp_log_quiet();
+	mp_log_critical_only();
 	return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -1,10 +1,11 @@
-/* Tests of stand/log: the store stand-in's data. */
+/* Tests of stand/log, the store stand-in's log. */
 #include "tests/unit.h"
 
 #include "stand/log.h"
 
 static const struct log_condition none = {.at = -1};
 
+/* Builds a length-prefixed record. */
 static struct lstr record(struct buf *b, const char *content, size_t n)
 {
 	unsigned char head[] = {0, 0, 0, (unsigned char)n};
@@ -15,6 +16,7 @@
 	return buf_lstr(b);
 }
 
+/* Append, read and trim. */
 static void test_append_and_read(void **state)
 {
 	struct log_part *p = log_part_new(false);
@@ -30,7 +32,7 @@
 	assert_int_equal(log_read(p, 0, 1000, &out), LOG_OK);
 	assert_int_equal(out.len, 16 + 6 + 5);
 	assert_memory_equal(out.ptr + 7, "\2\0\0\0\0\0\0\0\0\0\0\0\2ab", 15);
-	/* Half a record is none. */
+	/* A truncated record is rejected. */
 	assert_int_equal(
 		log_append(p, (struct lstr){"\0\0\0\5ab", 6}, &none, &pos),
 		LOG_BAD);
@@ -42,6 +44,7 @@
 	buf_free(&out);
 }
 
+/* An append at an offset fails if the log has grown. */
 static void test_condition(void **state)
 {
 	struct log_part *p = log_part_new(false);
@@ -57,6 +60,7 @@
 	buf_free(&b);
 }
 
+/* Producer epochs and sequence numbers. */
 static void test_producer(void **state)
 {
 	struct log_part *p = log_part_new(false);
@@ -66,7 +70,7 @@
 	struct buf b = {0};
 
 	assert_int_equal(log_append(p, record(&b, "a", 1), &c, &pos), LOG_OK);
-	/* A repeat gets its first outcome and adds nothing. */
+	/* A repeated append returns the first result and appends nothing. */
 	assert_int_equal(log_append(p, record(&b, "a", 1), &c, &pos), LOG_OK);
 	assert_int_equal(pos.offset, 0);
 	assert_int_equal(log_end(p), 1);
@@ -82,6 +86,7 @@
 	buf_free(&b);
 }
 
+/* The newest value of each key is kept across a trim. */
 static void test_newest(void **state)
 {
 	struct log_part *p = log_part_new(true);
@@ -95,7 +100,7 @@
 	n = g_hash_table_lookup(p->newest, "k");
 	assert_int_equal(n->offset, 1);
 	assert_memory_equal(g_bytes_get_data(n->value, NULL), "two", 3);
-	/* Without a value the key is dropped. */
+	/* An empty value deletes the key. */
 	log_append(p, record(&b, "\1k", 2), &none, &pos);
 	assert_null(g_hash_table_lookup(p->newest, "k"));
 	buf_free(&b);
--- a/tests/test_mailbox.c
+++ b/tests/test_mailbox.c
@@ -1,4 +1,4 @@
-/* Tests of misc/mailbox: order, a full queue, two threads. */
+/* Tests of misc/mailbox: message order, a full ring, two threads. */
 #include "tests/unit.h"
 
 #include <errno.h>
@@ -17,7 +17,8 @@
 	bool in_order;
 };
 
-static void on_mail(void *priv, struct mail *m)
+/* Checks the order; ends the loop after the last message. */
+static void on_message(void *priv, struct mailbox_msg *m)
 {
 	struct receiver *r = priv;
 
@@ -31,9 +32,10 @@
 	memset(r, 0, sizeof(*r));
 	r->in_order = true;
 	r->loop = ev_loop_new(EVFLAG_NOENV);
-	mailbox_init(&r->mb, r->loop, on_mail, r);
+	mailbox_init(&r->mb, r->loop, on_message, r);
 }
 
+/* A full ring rejects messages until it is read. */
 static void test_full(void **state)
 {
 	static struct receiver r;
@@ -53,6 +55,7 @@
 	ev_loop_destroy(r.loop);
 }
 
+/* Sends MESSAGES messages, retrying while the ring is full. */
 static void *sender(void *arg)
 {
 	struct receiver *r = arg;
--- a/tests/test_message.c
+++ b/tests/test_message.c
@@ -1,4 +1,4 @@
-/* Tests of http/message: framing, limits, and what ended early. */
+/* Tests of http/message: framing, limits and truncated messages. */
 #include "tests/unit.h"
 
 #include <errno.h>
@@ -9,7 +9,7 @@
 
 static const struct http_limits no_limits = {0, 0};
 
-/* Feeds text in pieces of `step` bytes; returns bytes taken or -errno. */
+/* Feeds text in pieces of `step` bytes; returns bytes consumed or -errno. */
 static ssize_t feed(struct http_reader *r, const char *text, size_t step)
 {
 	size_t n = strlen(text), at = 0;
@@ -25,6 +25,7 @@
 	return (ssize_t)at;
 }
 
+/* A response split at any size parses the same. */
 static void test_pieces(void **state)
 {
 	const char *text = "HTTP/1.1 200 OK\r\nX-Name: some value\r\n"
@@ -39,7 +40,7 @@
 
 		assert_true(m->done && m->keep_alive);
 		assert_int_equal(m->status, 200);
-		assert_true(lstr_eq(http_find(m, LSTR("x-name")),
+		assert_true(lstr_eq(http_find_header(m, LSTR("x-name")),
 				    LSTR("some value")));
 		assert_true(lstr_eq(buf_lstr(&m->body), LSTR("hello")));
 		http_message_free(m);
@@ -47,7 +48,7 @@
 	}
 }
 
-/* What follows a message stays with the caller. */
+/* Bytes after a message are left to the caller. */
 static void test_stops_at_end(void **state)
 {
 	const char *one = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -73,12 +74,12 @@
 	assert_int_equal(feed(&r, text, 3), strlen(text));
 	assert_true(lstr_eq(buf_lstr(&r.msg->body), LSTR("abcde")));
 	assert_true(lstr_eq(r.msg->target, LSTR("/x")));
-	/* Trailers don't become headers. */
-	assert_null(http_find(r.msg, LSTR("t")).ptr);
+	/* Trailers aren't added to the headers. */
+	assert_null(http_find_header(r.msg, LSTR("t")).ptr);
 	http_reader_free(&r);
 }
 
-/* A close ends a response without a length, and no other. */
+/* A close by the peer only completes a response without a length. */
 static void test_close_delimited(void **state)
 {
 	struct http_reader r;
@@ -116,6 +117,7 @@
 	http_reader_free(&r);
 }
 
+/* Bodies over the limit are rejected, with and without a length. */
 static void test_limits(void **state)
 {
 	struct http_limits limits = {.body_max = 4};
@@ -154,10 +156,10 @@
 }
 
 /*
- * Heads of requests with bytes changed, by seed and in pieces: each is refused,
- * waits for more, or is a whole message with a method and a target.
+ * Requests with random bytes overwritten, fed in pieces: each is rejected,
+ * stays incomplete, or is a complete message with a method and a target.
  */
-static void test_mangled_heads(void **state)
+static void test_corrupted_heads(void **state)
 {
 	static const char text[] =
 		"POST /lepu270/2f HTTP/1.1\r\nHost: jepu9.example\r\n"
@@ -165,7 +167,7 @@
 		"Deadline-Remaining-Ms: 1200\r\nContent-Length: 5\r\n\r\nhello";
 	struct http_limits limits = {512, 1024};
 	GRand *rand = g_rand_new_with_seed(47);
-	int whole = 0;
+	int complete = 0;
 
 	for (int i = 0; i < 20000; i++) {
 		char copy[sizeof(text)];
@@ -180,21 +182,21 @@
 		if (r.msg && r.msg->done) {
 			struct http_message *m = http_reader_take(&r);
 
-			whole++;
+			complete++;
 			assert_true(m->method.len > 0 && m->target.len > 0);
 			assert_true(m->body.len <= 1024);
 			http_message_free(m);
 		}
 		http_reader_free(&r);
 	}
-	assert_in_range(whole, 1, 19999);
+	assert_in_range(complete, 1, 19999);
 	g_rand_free(rand);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(test_mangled_heads),
+		cmocka_unit_test(test_corrupted_heads),
 		cmocka_unit_test(test_pieces),
 		cmocka_unit_test(test_stops_at_end),
 		cmocka_unit_test(test_chunked),
--- a/tests/test_request_log.c
+++ b/tests/test_request_log.c
@@ -39,7 +39,7 @@
 
 	clock_gettime(CLOCK_REALTIME, &t);
 	usleep((useconds_t)(1000000 - t.tv_nsec / 1000));
-	while (mp_log_routine())
+	while (mp_log_allow_routine())
 		;
 }
 
@@ -85,7 +85,7 @@
 static void test_suppressed_served(void **state)
 {
 	struct bench *b = bench_new(2);
-	guint64 lost = mp_log_lost();
+	guint64 lost = mp_log_lines_lost();
 	struct caller *c;
 
 	exhaust_log_allowance();
@@ -93,7 +93,7 @@
 	assert_int_equal(c->status, 200);
 	assert_int_equal(count_lines("410", c), 0);
 	assert_int_equal(count_lines("411", c), 0);
-	assert_int_equal(mp_log_lost() - lost, 2);
+	assert_int_equal(mp_log_lines_lost() - lost, 2);
 	bench_free(b);
 }
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -1,4 +1,4 @@
-/* Tests of options/settings and options/deploy: findings with places. */
+/* Tests of options/settings and options/deploy: findings and locations. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -24,6 +24,7 @@
 	assert_true(deploy_service(&d, "rezervari")->protected_action);
 }
 
+/* Writes a temporary file and returns its path. */
 static char *write_ini(const char *text)
 {
 	char *path = g_strdup("/tmp/mp-test-XXXXXX");
@@ -35,7 +36,7 @@
 	return path;
 }
 
-/* Every mistake is found in one pass, each with its line and key. */
+/* All errors are found in one pass, each with its line and key. */
 static void test_all_findings_with_lines(void **state)
 {
 	const char *text = "[platform]\n"		/* 1 */
@@ -57,11 +58,11 @@
 
 	findings_init(&f);
 	assert_int_equal(settings_open(&s, path, NULL, &f), 0);
-	assert_int_equal(settings_line_of(s.text, "platform", "member_ttl_ms"),
-			 3);
-	assert_int_equal(settings_line_of(s.text, "service.harta", "workers"),
+	assert_int_equal(
+		settings_find_line(s.text, "platform", "member_ttl_ms"), 3);
+	assert_int_equal(settings_find_line(s.text, "service.harta", "workers"),
 			 8);
-	assert_int_equal(settings_line_of(s.text, "mystery", NULL), 12);
+	assert_int_equal(settings_find_line(s.text, "mystery", NULL), 12);
 	settings_close(&s);
 	deploy_read(path, &d, &f);
 	const struct {
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -26,9 +26,9 @@
 	assert_int_equal(s->draining, applied);
 }
 
-static enum http_verdict take(void *owner, const struct response_info *info)
+static enum http_match take(void *owner, const struct response_info *info)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 static void response(void *owner, struct http_message *m,
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -69,7 +69,7 @@
 static void log_end(const struct backend *b, unsigned requests,
 		    const char *outcome, const char *why, int64_t ms)
 {
-	mp_event(EV_BACKEND_ENDED, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_BACKEND_CRASH_CHECKED, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s service=%s outcome=%s why=%s requests=%u "
 		 "ms=%" G_GINT64_FORMAT,
 		 b->entry.id, b->service->name, outcome, why, requests, ms);
@@ -122,9 +122,9 @@
 	ev_timer_start(c->traffic->loop, &c->retry_timer);
 }
 
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_match judge(void *priv, const struct http_message *m)
 {
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 /* Compares the server that the response names with the one that was probed. */
@@ -166,7 +166,7 @@
 	return !is_backing_off(c->backend);
 }
 
-static const struct http_client_ops ops = {.judge = judge,
+static const struct http_client_ops ops = {.match = judge,
 					   .response = on_response,
 					   .failed = on_failed,
 					   .may_send = may_send};
--- a/traffic/probe.c
+++ b/traffic/probe.c
@@ -45,17 +45,17 @@
 	r->nprobes = 0;
 }
 
-static enum http_verdict probe_judge(void *owner,
-				     const struct response_info *info)
+static enum http_match probe_judge(void *owner,
+				   const struct response_info *info)
 {
 	struct probe *p = owner;
 
 	/* Only a response that names its server answers a probe. */
 	if (info->id.ptr || !info->backend_id.ptr) {
 		p->traffic->counters.foreign_answers++;
-		return HTTP_SKIP;
+		return HTTP_UNMATCHED;
 	}
-	return HTTP_TAKE;
+	return HTTP_MATCHED;
 }
 
 /* Logs the first failed probe of b, and the first success after failures. */
@@ -80,7 +80,7 @@
 /* Removes a server whose address is now used by another process. */
 static void remove_replaced_backend(struct traffic *t, struct backend *b)
 {
-	mp_event(EV_MEMBER_GONE, G_LOG_LEVEL_MESSAGE,
+	mp_event(EV_MEMBER_REMOVED, G_LOG_LEVEL_MESSAGE,
 		 "backend=%s why=another answers at its address", b->entry.id);
 	backend_set_remove(&t->backends, b->entry.id);
 }
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -173,7 +173,7 @@
 {
 	r->stats->unknown++;
 	r->traffic->last_failure_ms = clock_ms();
-	request_log_outcome(r, EV_REQUEST_UNKNOWN, status, why, 0);
+	request_log_outcome(r, EV_REQUEST_OUTCOME_UNKNOWN, status, why, 0);
 	respond_local(r, status, 0);
 }
 
@@ -408,7 +408,7 @@
 		&t->backends, route_pick(route, g_rand_int(t->rand)));
 	r->stats = traffic_class_stats(t, r->service->name, route->target_ms);
 	r->start_ms = clock_ms();
-	r->log_deferred = !mp_log_routine();
+	r->log_deferred = !mp_log_allow_routine();
 	if (call->has_time_left) {
 		record_time_limit(r, left_ms);
 		r->spent_before_ms = caller_timeout_spent_ms(
@@ -438,7 +438,7 @@
 
 	exchange_read_request(m, &call);
 	if (!call.host.len || !call.id.len) {
-		mp_event(EV_REQUEST_BAD, G_LOG_LEVEL_INFO,
+		mp_event(EV_REQUEST_INVALID, G_LOG_LEVEL_INFO,
 			 "request without host or id");
 		http_message_free(m);
 		http_conn_reply(c, &(struct http_reply){.status = 400});
@@ -463,7 +463,7 @@
 	if (!r)
 		return;
 	r->stats->gone++;
-	request_log_outcome(r, EV_REQUEST_GONE, 0, "caller left", 0);
+	request_log_outcome(r, EV_REQUEST_CALLER_LEFT, 0, "caller left", 0);
 	r->conn = NULL;
 	if (!r->route->idempotent && request_is_in_flight(r))
 		return;
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -46,16 +46,15 @@
 	}
 }
 
-static enum http_verdict send_judge(void *owner,
-				    const struct response_info *info)
+static enum http_match send_judge(void *owner, const struct response_info *info)
 {
 	struct send *s = owner;
 
 	if (exchange_response_matches(info, s->request->call.id))
-		return HTTP_TAKE;
+		return HTTP_MATCHED;
 	s->request->traffic->counters.foreign_answers++;
 	request_log_mismatched(s->request, s, info->id);
-	return HTTP_SKIP;
+	return HTTP_UNMATCHED;
 }
 
 /* Updates the models of the work time and of the server's speed. */
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -3,7 +3,7 @@
 
 #include <ck_pr.h>
 
-#include "caller/own.h"
+#include "caller/native_api.h"
 #include "common/event.h"
 #include "core/mechanisms.h"
 #include "core/policy.h"
@@ -137,7 +137,7 @@
 						 request_caller_left};
 static const struct http_server_ops ready_ops = {on_ready, NULL};
 static const struct http_server_ops directory_ops = {on_directory, NULL};
-static const struct http_server_ops own_ops = {own_request,
+static const struct http_server_ops own_ops = {native_api_request,
 					       request_caller_left};
 static const struct http_server_ops metrics_ops = {on_metrics, NULL};
 
@@ -246,8 +246,8 @@
 {
 	t->stopping = true;
 	t->stopping_ms = clock_ms();
-	t->caller_server.last_answers = true;
-	t->own_server.last_answers = true;
+	t->caller_server.disable_keep_alive = true;
+	t->own_server.disable_keep_alive = true;
 	ev_timer_init(&t->stop_timer, on_shutdown_timer, STOP_CHECK_MS / 1000.0,
 		      STOP_CHECK_MS / 1000.0);
 	t->stop_timer.data = t;
@@ -284,7 +284,7 @@
 	drain_gossip_peers_changed(t);
 }
 
-static void on_mail(void *priv, struct mail *m)
+static void on_mail(void *priv, struct mailbox_msg *m)
 {
 	struct traffic *t = priv;
 
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -53,15 +53,15 @@
 }
 
 /* Applies the server's feedback even if the owner skips the response. */
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_match judge(void *priv, const struct http_message *m)
 {
 	struct upstream *u = priv;
 	struct feedback f = {.sent_ms = u->sent_ms, .probe = u->is_probe};
-	enum http_verdict verdict;
+	enum http_match verdict;
 
 	exchange_read_response(m, &f.info);
 	verdict = u->ops->judge(u->owner, &f.info);
-	f.solicited = verdict == HTTP_TAKE;
+	f.solicited = verdict == HTTP_MATCHED;
 	feedback_apply(u->traffic, u->backend, &f);
 	return verdict;
 }
@@ -187,10 +187,10 @@
 	u->backend->idle_conns = u;
 }
 
-static enum http_verdict ignore_response(void *owner,
-					 const struct response_info *info)
+static enum http_match ignore_response(void *owner,
+				       const struct response_info *info)
 {
-	return HTTP_SKIP;
+	return HTTP_UNMATCHED;
 }
 
 static void ignore_failure(void *owner, int err, bool sent)
