--- a/stand/audit.c
+++ b/stand/audit.c
@@ -3,17 +3,17 @@
 #include "stand/audit.h"
 
 /* What was on its way when an answer left may still arrive for so long. */
-enum { ON_ITS_WAY_MS = 500 };
+enum { IN_TRANSIT_MS = 500 };
 
 /* One answer that asked for a backoff. */
-struct window {
+struct backoff_window {
 	int64_t from_ms, until_ms;
-	unsigned got;
+	unsigned requests;
 };
 
 struct audit_instance {
-	GArray *backoffs;   /* struct window */
-	int64_t leaving_ms; /* first told that the server leaves; 0: not yet */
+	GArray *backoffs;      /* struct window */
+	int64_t drain_told_ms; /* first told that the server leaves; 0: not yet */
 };
 
 static void free_instance(gpointer data)
@@ -32,7 +32,7 @@
 					       free_instance);
 }
 
-static struct audit_instance *find(struct audit *p, struct lstr name)
+static struct audit_instance *get_instance(struct audit *p, struct lstr name)
 {
 	char *key = g_strndup(name.ptr ? name.ptr : "", name.len);
 	struct audit_instance *i = g_hash_table_lookup(p->by_instance, key);
@@ -42,7 +42,7 @@
 		return i;
 	}
 	i = g_new0(struct audit_instance, 1);
-	i->backoffs = g_array_new(FALSE, FALSE, sizeof(struct window));
+	i->backoffs = g_array_new(FALSE, FALSE, sizeof(struct backoff_window));
 	g_hash_table_insert(p->by_instance, key, i);
 	return i;
 }
@@ -51,12 +51,13 @@
 void audit_backoff(struct audit *p, struct lstr instance, int64_t backoff_ms,
 		   int64_t now_ms)
 {
-	struct window r = {now_ms + ON_ITS_WAY_MS, now_ms + backoff_ms, 0};
+	struct backoff_window r = {now_ms + IN_TRANSIT_MS, now_ms + backoff_ms,
+				   0};
 
 	p->backoffs++;
-	if (p->off)
+	if (p->suspended)
 		return;
-	g_array_append_val(find(p, instance)->backoffs, r);
+	g_array_append_val(get_instance(p, instance)->backoffs, r);
 }
 
 /* audit_draining() notes that an answer says that the server leaves. */
@@ -65,11 +66,11 @@
 	struct audit_instance *i;
 
 	p->draining_told++;
-	if (p->off)
+	if (p->suspended)
 		return;
-	i = find(p, instance);
-	if (!i->leaving_ms)
-		i->leaving_ms = now_ms;
+	i = get_instance(p, instance);
+	if (!i->drain_told_ms)
+		i->drain_told_ms = now_ms;
 }
 
 /* Counts one more in each backoff that lasts; forgets those that are over. */
@@ -79,8 +80,8 @@
 	bool within = false;
 
 	for (guint k = i->backoffs->len; k > 0; k--) {
-		struct window *r =
-			&g_array_index(i->backoffs, struct window, k - 1);
+		struct backoff_window *r = &g_array_index(
+			i->backoffs, struct backoff_window, k - 1);
 
 		if (now_ms >= r->until_ms) {
 			g_array_remove_index_fast(i->backoffs, k - 1);
@@ -89,8 +90,8 @@
 		if (now_ms <= r->from_ms)
 			continue;
 		within = true;
-		r->got += !question;
-		p->backoff_worst = MAX(p->backoff_worst, r->got);
+		r->requests += !question;
+		p->backoff_worst = MAX(p->backoff_worst, r->requests);
 	}
 	p->backoff_got += within && !question;
 	p->backoff_questions += within && question;
@@ -102,31 +103,31 @@
 {
 	struct audit_instance *i;
 
-	if (p->off)
+	if (p->suspended)
 		return;
-	i = find(p, instance);
+	i = get_instance(p, instance);
 	count_in_windows(p, i, question, now_ms);
-	if (!question && i->leaving_ms &&
-	    now_ms > i->leaving_ms + ON_ITS_WAY_MS)
+	if (!question && i->drain_told_ms &&
+	    now_ms > i->drain_told_ms + IN_TRANSIT_MS)
 		p->draining_got++;
 }
 
 /* audit_suspend() forgets what was asked; nothing counts from now on. */
 void audit_suspend(struct audit *p)
 {
-	p->off++;
+	p->suspended++;
 	g_hash_table_remove_all(p->by_instance);
 }
 
 /* audit_resume() ends one disturbance. */
 void audit_resume(struct audit *p)
 {
-	if (p->off)
-		p->off--;
+	if (p->suspended)
+		p->suspended--;
 	g_hash_table_remove_all(p->by_instance);
 }
 
-static gboolean is_of(gpointer key, gpointer value, gpointer instance)
+static gboolean is_lifetime_of(gpointer key, gpointer value, gpointer instance)
 {
 	return strstr(key, instance) != NULL;
 }
@@ -134,5 +135,6 @@
 /* audit_excuse() forgets what one instance was asked so far. */
 void audit_excuse(struct audit *p, const char *instance)
 {
-	g_hash_table_foreach_remove(p->by_instance, is_of, (gpointer)instance);
+	g_hash_table_foreach_remove(p->by_instance, is_lifetime_of,
+				    (gpointer)instance);
 }
--- a/stand/audit.h
+++ b/stand/audit.h
@@ -14,7 +14,8 @@
 #include "misc/lstr.h"
 
 struct audit {
-	unsigned off; /* so many disturbances last in which nothing is judged */
+	unsigned
+		suspended; /* so many disturbances last in which nothing is judged */
 	GHashTable *by_instance;    /* its name -> struct audit_instance * */
 	uint64_t backoffs;	    /* asked for */
 	uint64_t backoff_got;	    /* requests within a backoff */
--- a/stand/backend.c
+++ b/stand/backend.c
@@ -20,14 +20,14 @@
 
 enum {
 	DRAIN_MS = 5000,       /* how long a leaving server works on */
-	LEAVE_BOUND_MS = 3000, /* new work after this is late */
+	LEAVE_GRACE_MS = 3000, /* new work after this is late */
 	HEAD_MAX = 16384,
 	BODY_MAX = 1 << 20,
-	FATAL_MS = 40, /* a fatal request runs so long before the end */
+	FATAL_DELAY_MS = 40, /* a fatal request runs so long before the end */
 	EXIT_FATAL = 70,
 };
 
-static bool happens(struct server *s, int pct)
+static bool fault_occurs(struct server *s, int pct)
 {
 	return pct && g_rand_int_range(s->work.rand, 0, 100) < pct;
 }
@@ -43,8 +43,8 @@
 {
 	if (s->faults.limit_odd)
 		buf_printf(b, "Server-Limit: as many as you like\r\n");
-	else if (s->need.named)
-		buf_printf(b, "Server-Limit: %g\r\n", s->need.per_s);
+	else if (s->limit_check.active)
+		buf_printf(b, "Server-Limit: %g\r\n", s->limit_check.per_s);
 }
 
 static bool is_draining(const struct server *s)
@@ -53,7 +53,7 @@
 }
 
 /* The lifetime of the instance that sends m, as its Via header names it. */
-static struct lstr sender(const struct http_message *m)
+static struct lstr sender_lifetime(const struct http_message *m)
 {
 	struct lstr via = http_find(m, LSTR("Via"));
 
@@ -97,9 +97,9 @@
 	buf_printf(&h, "Not-Executed: 1\r\nInstance-Id: %s\r\n", s->id);
 	add_load(s, &h);
 	add_limit(s, &h);
-	add_draining(s, sender(m), &h);
+	add_draining(s, sender_lifetime(m), &h);
 	if (status == 503)
-		add_backoff(s, sender(m), &h);
+		add_backoff(s, sender_lifetime(m), &h);
 	reply(s, c, status, &h, LSTR(""));
 	buf_free(&h);
 }
@@ -120,7 +120,7 @@
 		   (int)id.len, id.ptr, (int)id.len, id.ptr);
 	add_load(s, headers);
 	add_limit(s, headers);
-	add_draining(s, sender(j->message), headers);
+	add_draining(s, sender_lifetime(j->message), headers);
 	buf_printf(body,
 		   "{\"req\":\"%.*s\",\"backend\":\"%s\","
 		   "\"service\":\"%s\"}",
@@ -139,12 +139,12 @@
 	buf_printf(&raw, "HTTP/1.1 200 OK\r\n%.*sContent-Length: %zu\r\n\r\n",
 		   (int)headers.len, headers.ptr, body.len);
 	buf_add_lstr(&raw, buf_lstr(&body));
-	if (happens(s, s->faults.lost_pct)) {
+	if (fault_occurs(s, s->faults.lost_pct)) {
 		http_conn_abort(c);
-	} else if (happens(s, s->faults.cut_pct)) {
+	} else if (fault_occurs(s, s->faults.cut_pct)) {
 		raw.len -= body.len / 2;
 		http_conn_reply_raw(c, buf_lstr(&raw), true);
-	} else if (happens(s, s->faults.extra_pct)) {
+	} else if (fault_occurs(s, s->faults.extra_pct)) {
 		size_t n = raw.len;
 
 		buf_room(&raw, n);
@@ -162,7 +162,7 @@
 
 static void job_end(struct job *j)
 {
-	struct job *next = work_leave(&j->server->work);
+	struct job *next = work_finish(&j->server->work);
 
 	if (j->conn)
 		job_answer(j);
@@ -171,13 +171,13 @@
 		job_run(next);
 }
 
-static void on_worked(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_work_done(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	job_end(t->data);
 }
 
 /* The process ends at once, as after a fault of its own. */
-static void on_fatal(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_fatal_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct job *j = t->data;
 
@@ -187,7 +187,7 @@
 	_exit(EXIT_FATAL);
 }
 
-static bool holds(struct lstr text, const char *word)
+static bool contains(struct lstr text, const char *word)
 {
 	return *word && text.len &&
 	       memmem(text.ptr, text.len, word, strlen(word)) != NULL;
@@ -197,8 +197,8 @@
 {
 	const char *word = j->server->service->fatal_word;
 
-	return holds(j->message->target, word) ||
-	       holds(buf_lstr(&j->message->body), word);
+	return contains(j->message->target, word) ||
+	       contains(buf_lstr(&j->message->body), word);
 }
 
 static void job_run(struct job *j)
@@ -206,16 +206,16 @@
 	struct server *s = j->server;
 	struct lstr key = http_find(j->message, LSTR("Idempotency-Key"));
 	double ms = work_duration_ms(&s->work, clock_ms());
-	char *text;
+	char *key_text;
 
 	if (!key.ptr)
 		key = http_find(j->message, LSTR("Attempt-Id"));
-	text = g_strndup(key.ptr, key.len);
-	work_note_run(&s->work, text);
-	g_free(text);
+	key_text = g_strndup(key.ptr, key.len);
+	work_record_run(&s->work, key_text);
+	g_free(key_text);
 	j->waiting = false;
-	ev_timer_init(&j->timer, is_fatal(j) ? on_fatal : on_worked,
-		      (is_fatal(j) ? FATAL_MS : ms) / 1000, 0);
+	ev_timer_init(&j->timer, is_fatal(j) ? on_fatal_timer : on_work_done,
+		      (is_fatal(j) ? FATAL_DELAY_MS : ms) / 1000, 0);
 	j->timer.data = j;
 	ev_timer_start(s->loop, &j->timer);
 }
@@ -228,7 +228,7 @@
 	if (!j)
 		return;
 	j->conn = NULL;
-	if (j->refused) {
+	if (j->rejected) {
 		job_free(j);
 	} else if (j->waiting) {
 		work_cancel(&j->server->work, j);
@@ -238,7 +238,7 @@
 	}
 }
 
-static void turn_away(struct job *j)
+static void job_reject(struct job *j)
 {
 	if (j->conn) {
 		http_conn_set_user(j->conn, NULL);
@@ -247,38 +247,38 @@
 	job_free(j);
 }
 
-static void on_turn_away(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_reject_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	turn_away(t->data);
+	job_reject(t->data);
 }
 
 /* Turns a request away, at once or late. */
-static void turn_away_in(struct job *j, int ms)
+static void job_reject_after(struct job *j, int ms)
 {
 	if (!ms) {
-		turn_away(j);
+		job_reject(j);
 		return;
 	}
-	j->refused = true;
-	ev_timer_init(&j->timer, on_turn_away, ms / 1000.0, 0);
+	j->rejected = true;
+	ev_timer_init(&j->timer, on_reject_timer, ms / 1000.0, 0);
 	j->timer.data = j;
 	ev_timer_start(j->server->loop, &j->timer);
 }
 
 /* Each call counts, also those that a fault turns away. */
-static enum work_entry enter(struct server *s, struct job *j)
+static enum work_admission admit_job(struct server *s, struct job *j)
 {
-	if (!happens(s, s->faults.shed_pct))
-		return work_enter(&s->work, j);
+	if (!fault_occurs(s, s->faults.shed_pct))
+		return work_admit(&s->work, j);
 	s->work.calls++;
 	s->work.refused++;
 	return WORK_FULL;
 }
 
-static void do_work(struct server *s, struct http_conn *c,
-		    struct http_message *m)
+static void handle_work(struct server *s, struct http_conn *c,
+			struct http_message *m)
 {
-	struct lstr only = http_find(m, LSTR("Target-Instance"));
+	struct lstr target_id = http_find(m, LSTR("Target-Instance"));
 	struct job *j;
 
 	if (!http_find(m, LSTR("Attempt-Id")).ptr) {
@@ -286,24 +286,24 @@
 		http_message_free(m);
 		return;
 	}
-	if (only.ptr && !lstr_eq(only, lstr0(s->id))) {
+	if (target_id.ptr && !lstr_eq(target_id, lstr0(s->id))) {
 		reply_not_run(s, c, m, 421);
 		http_message_free(m);
 		return;
 	}
-	if (s->leaving_ms && clock_ms() - s->leaving_ms > LEAVE_BOUND_MS)
+	if (s->leaving_ms && clock_ms() - s->leaving_ms > LEAVE_GRACE_MS)
 		s->work.late++;
-	need_arrived(&s->need, clock_ms());
-	audit_request(&s->audit, sender(m), false, clock_ms());
+	limit_check_request(&s->limit_check, clock_ms());
+	audit_request(&s->audit, sender_lifetime(m), false, clock_ms());
 	j = g_new0(struct job, 1);
 	j->server = s;
 	j->conn = c;
 	j->message = m;
-	ev_init(&j->timer, on_worked);
+	ev_init(&j->timer, on_work_done);
 	http_conn_set_user(c, j);
-	if (happens(s, s->faults.hang_pct))
+	if (fault_occurs(s, s->faults.hang_pct))
 		return;
-	switch (enter(s, j)) {
+	switch (admit_job(s, j)) {
 	case WORK_RUN:
 		job_run(j);
 		break;
@@ -313,28 +313,28 @@
 	case WORK_FULL:
 		/* Some services never answer what they can't queue. */
 		if (!s->service->hangs || s->faults.backoff_milli >= 0)
-			turn_away_in(j, s->faults.late_ms);
+			job_reject_after(j, s->faults.late_ms);
 		break;
 	}
 }
 
-static void do_health(struct server *s, struct http_conn *c,
-		      const struct http_message *m)
+static void handle_health(struct server *s, struct http_conn *c,
+			  const struct http_message *m)
 {
 	struct buf h = {0};
 
 	s->work.probes++;
-	audit_request(&s->audit, sender(m), true, clock_ms());
+	audit_request(&s->audit, sender_lifetime(m), true, clock_ms());
 	buf_printf(&h, "Instance-Id: %s\r\n", s->id);
 	add_load(s, &h);
 	if (s->faults.limit_asked)
 		add_limit(s, &h);
-	add_draining(s, sender(m), &h);
+	add_draining(s, sender_lifetime(m), &h);
 	reply(s, c, is_draining(s) ? 503 : 200, &h, LSTR(""));
 	buf_free(&h);
 }
 
-static void do_stats(struct server *s, struct http_conn *c)
+static void handle_stats(struct server *s, struct http_conn *c)
 {
 	struct buf b = {0}, none = {0};
 
@@ -343,8 +343,8 @@
 	buf_free(&b);
 }
 
-static void do_faults(struct server *s, struct http_conn *c,
-		      const struct query *q)
+static void handle_faults(struct server *s, struct http_conn *c,
+			  const struct query *q)
 {
 	struct faults *f = &s->faults;
 	struct buf none = {0};
@@ -357,8 +357,8 @@
 	if (query_text(q, "excuse"))
 		audit_excuse(&s->audit, query_text(q, "excuse"));
 	/* What is no number names no limit that could be kept. */
-	need_set(&s->need, f->limit_milli >= 0 && !f->limit_odd,
-		 f->limit_milli / 1000.0, clock_ms());
+	limit_check_set(&s->limit_check, f->limit_milli >= 0 && !f->limit_odd,
+			f->limit_milli / 1000.0, clock_ms());
 	s->work.quiet = f->quiet;
 	reply(s, c, 200, &none, LSTR(""));
 }
@@ -368,22 +368,22 @@
 	struct server *s = priv;
 	struct query q;
 	char *path = query_split(m->target, &q);
-	bool own = true;
+	bool handled = true;
 
 	if (!strcmp(path, STAND_HEALTH_PATH))
-		do_health(s, c, m);
+		handle_health(s, c, m);
 	else if (!strcmp(path, "/stand/stats"))
-		do_stats(s, c);
+		handle_stats(s, c);
 	else if (!strcmp(path, "/stand/faults"))
-		do_faults(s, c, &q);
+		handle_faults(s, c, &q);
 	else
-		own = false;
+		handled = false;
 	g_free(path);
 	query_free(&q);
-	if (own)
+	if (handled)
 		http_message_free(m);
 	else
-		do_work(s, c, m);
+		handle_work(s, c, m);
 }
 
 static const struct http_server_ops ops = {on_request, on_gone};
@@ -410,19 +410,20 @@
 	s->leaving_ms = clock_ms();
 	mp_event(EV_STOPPING, G_LOG_LEVEL_MESSAGE,
 		 "backend %s leaving; drains for %d ms", s->id, DRAIN_MS);
-	server_list_write(s);
-	ev_timer_init(&s->drained, on_drained, DRAIN_MS / 1000.0, 0.1);
-	s->drained.data = s;
-	ev_timer_start(loop, &s->drained);
+	server_register(s);
+	ev_timer_init(&s->drain_timer, on_drained, DRAIN_MS / 1000.0, 0.1);
+	s->drain_timer.data = s;
+	ev_timer_start(loop, &s->drain_timer);
 }
 
-static int prepare(struct server *s, const struct deploy *d,
-		   const char *service, int index, unsigned seed)
+static int server_init(struct server *s, const struct deploy *d,
+		       const char *service, int index, unsigned seed)
 {
 	s->service = deploy_service(d, service);
 	if (!s->service ||
 	    deploy_worker_addr(s->service, index, s->addr, sizeof(s->addr)) ||
-	    deploy_worker_told(s->service, index, s->told, sizeof(s->told)))
+	    deploy_worker_told(s->service, index, s->advertised_addr,
+			       sizeof(s->advertised_addr)))
 		return -ENOENT;
 	snprintf(s->id, sizeof(s->id), "%s-%d-%x", service, index,
 		 g_random_int());
@@ -431,7 +432,7 @@
 		  sizeof(s->dc));
 	work_init(&s->work, (unsigned)s->service->slots, s->service->work_ms,
 		  seed ^ (unsigned)index * 2654435761U, clock_ms());
-	need_init(&s->need);
+	limit_check_init(&s->limit_check);
 	audit_init(&s->audit);
 	faults_init(&s->faults);
 	s->http.limits = (struct http_limits){HEAD_MAX, BODY_MAX};
@@ -450,7 +451,7 @@
 {
 	struct server s = {.loop = ev_default_loop(EVFLAG_NOENV)};
 	ev_signal term;
-	int rc = prepare(&s, d, service, index, seed);
+	int rc = server_init(&s, d, service, index, seed);
 
 	if (rc)
 		return rc;
@@ -462,7 +463,7 @@
 	}
 	mp_event(EV_STARTED, G_LOG_LEVEL_MESSAGE, "backend %s on %s in %s",
 		 s.id, s.addr, s.dc);
-	server_list_start(&s);
+	server_register_start(&s);
 	ev_signal_init(&term, on_term, SIGTERM);
 	term.data = &s;
 	ev_signal_start(s.loop, &term);
--- /dev/null
+++ b/stand/backup.c
@@ -0,0 +1,59 @@
+#include <inttypes.h>
+#include <string.h>
+
+#include "stand/backup.h"
+#include "stand/log.h"
+
+/* backup_init() prepares a store in its first era. */
+void backup_init(struct backup *d)
+{
+	*d = (struct backup){.era = 1, .era_header = "ok"};
+}
+
+static GHashTable *copy_topics(GHashTable *topics)
+{
+	GHashTable *copy = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTableIter it;
+	gpointer name, part;
+
+	g_hash_table_iter_init(&it, topics);
+	while (g_hash_table_iter_next(&it, &name, &part))
+		g_hash_table_insert(copy, g_strdup(name), log_part_copy(part));
+	return copy;
+}
+
+/* backup_save() keeps a copy of all topics in the place of an earlier one. */
+void backup_save(struct backup *d, GHashTable *topics)
+{
+	d->copy = copy_topics(topics);
+}
+
+/* backup_restore() begins the next era; returns the topics to go on with. */
+GHashTable *backup_restore(struct backup *d)
+{
+	d->era += 1 + d->era_skip;
+	d->era_skip = 0;
+	return d->copy ? copy_topics(d->copy)
+		       : g_hash_table_new(g_str_hash, g_str_equal);
+}
+
+/* backup_set() takes over what a query names and leaves the rest. */
+void backup_set(struct backup *d, const struct query *q)
+{
+	const char *named = query_text(q, "era_named");
+
+	d->era_skip = (unsigned)query_int(q, "era_skip", (int64_t)d->era_skip);
+	if (named)
+		g_strlcpy(d->era_header, named, sizeof(d->era_header));
+}
+
+/* backup_write_era() writes the header of an answer that was made in an era. */
+void backup_write_era(const struct backup *d, uint64_t era, struct buf *headers)
+{
+	if (!strcmp(d->era_header, "odd"))
+		buf_printf(headers, "Store-Era: the next one\r\n");
+	else if (!strcmp(d->era_header, "huge"))
+		buf_printf(headers, "Store-Era: 18446744073709551615\r\n");
+	else if (strcmp(d->era_header, "none"))
+		buf_printf(headers, "Store-Era: %" PRIu64 "\r\n", era);
+}
--- a/stand/drill.h
+++ b/stand/backup.h
@@ -6,8 +6,8 @@
  *   era_skip=N      the next restore raises the era by N more
  *   era_named=HOW   the header that names the era is HOW: ok | none | odd | huge
  */
-#ifndef MP_STAND_DRILL_H
-#define MP_STAND_DRILL_H
+#ifndef MP_STAND_BACKUP_H
+#define MP_STAND_BACKUP_H
 
 #include <stdint.h>
 
@@ -16,17 +16,18 @@
 #include "misc/buf.h"
 #include "stand/query.h"
 
-struct drill {
+struct backup {
 	GHashTable *copy; /* "topic/part" -> struct log_part * */
 	uint64_t era;
-	unsigned skip;
-	char named[8];
+	unsigned era_skip;
+	char era_header[8];
 };
 
-void drill_init(struct drill *d);
-void drill_copy(struct drill *d, GHashTable *topics);
-GHashTable *drill_restore(struct drill *d);
-void drill_set(struct drill *d, const struct query *q);
-void drill_write_era(const struct drill *d, uint64_t era, struct buf *headers);
+void backup_init(struct backup *d);
+void backup_save(struct backup *d, GHashTable *topics);
+GHashTable *backup_restore(struct backup *d);
+void backup_set(struct backup *d, const struct query *q);
+void backup_write_era(const struct backup *d, uint64_t era,
+		      struct buf *headers);
 
 #endif
--- a/stand/lapse.c
+++ b/stand/lease.c
@@ -1,19 +1,19 @@
 #include <string.h>
 
 #include "platform/store.h"
-#include "stand/lapse.h"
+#include "stand/lease.h"
 
-/* lapse_init() prepares one that knows of no entry. */
-void lapse_init(struct lapse *l, int ttl_ms)
+/* lease_init() prepares one that knows of no entry. */
+void lease_init(struct lease *l, int ttl_ms)
 {
 	l->ttl_ms = ttl_ms;
 	l->written_ms =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* lapse_note() remembers an append, if it is of a backend server. */
-void lapse_note(struct lapse *l, const struct query *q, struct lstr body,
-		int64_t now_ms)
+/* lease_renew() remembers an append, if it is of a backend server. */
+void lease_renew(struct lease *l, const struct query *q, struct lstr body,
+		 int64_t now_ms)
 {
 	const char *topic = query_text(q, "topic");
 	size_t klen = body.len > 4 ? (unsigned char)body.ptr[4] : 0;
@@ -25,8 +25,8 @@
 			     g_memdup2(&now_ms, sizeof(now_ms)));
 }
 
-/* lapse_restart() begins the leases of a partition that came back from a copy. */
-void lapse_restart(struct lapse *l, const struct log_part *p, int64_t now_ms)
+/* lease_restart() begins the leases of a partition that came back from a copy. */
+void lease_restart(struct lease *l, const struct log_part *p, int64_t now_ms)
 {
 	GHashTableIter it;
 	gpointer key;
@@ -38,7 +38,7 @@
 }
 
 /* Bytes before the number that each beat has of its own. */
-static size_t before_sequence(const char *p, size_t n)
+static size_t prefix_before_sequence(const char *p, size_t n)
 {
 	static const char name[] = "sequenceNumber";
 	const char *at = memmem(p, n, name, sizeof(name) - 1);
@@ -46,8 +46,8 @@
 	return at ? (size_t)(at - p) : n;
 }
 
-/* lapse_is_repeat() tells whether an entry says nothing new of its server. */
-bool lapse_is_repeat(const struct lapse *l, const struct log_part *p,
+/* lease_is_repeat() tells whether an entry says nothing new of its server. */
+bool lease_is_repeat(const struct lease *l, const struct log_part *p,
 		     const struct query *q, struct lstr body)
 {
 	const char *topic = query_text(q, "topic");
@@ -66,16 +66,16 @@
 	if (!n)
 		return false;
 	value = g_bytes_get_data(n->value, &len);
-	len = before_sequence(value, len);
-	return len == before_sequence(body.ptr + 5 + klen,
-				      body.len - 5 - klen) &&
+	len = prefix_before_sequence(value, len);
+	return len == prefix_before_sequence(body.ptr + 5 + klen,
+					     body.len - 5 - klen) &&
 	       !memcmp(value, body.ptr + 5 + klen, len);
 }
 
-/* lapse_drop() drops what is due from its partition; true when it did. */
-bool lapse_drop(struct lapse *l, struct log_part *p, int64_t now_ms)
+/* lease_expire() drops what is due from its partition; true when it did. */
+bool lease_expire(struct lease *l, struct log_part *p, int64_t now_ms)
 {
-	struct log_condition cond = {.at = -1};
+	struct log_condition cond = {.expected_end = -1};
 	bool dropped = false;
 	GHashTableIter it;
 	gpointer key, at;
--- a/stand/need.h
+++ b/stand/limit_check.h
@@ -4,27 +4,28 @@
  * rule is judged more strictly than they do: all requests count, also those of
  * instances that were not told yet.
  */
-#ifndef MP_STAND_NEED_H
-#define MP_STAND_NEED_H
+#ifndef MP_STAND_LIMIT_CHECK_H
+#define MP_STAND_LIMIT_CHECK_H
 
 #include <stdbool.h>
 #include <stdint.h>
 
 #include <glib.h>
 
-struct need {
-	bool named;
+struct limit_check {
+	bool active;
 	double per_s;
-	int64_t since_ms;
+	int64_t set_ms;
 	GQueue arrived; /* when each request of the last window came, in ms */
-	uint64_t got;	/* while a limit stands and the rule holds */
-	bool judged;
+	uint64_t requests; /* while a limit stands and the rule holds */
+	bool has_worst;
 	unsigned worst; /* requests in the worst window */
 	double allowed; /* in that */
 };
 
-void need_init(struct need *n);
-void need_set(struct need *n, bool named, double per_s, int64_t now_ms);
-void need_arrived(struct need *n, int64_t now_ms);
+void limit_check_init(struct limit_check *n);
+void limit_check_set(struct limit_check *n, bool named, double per_s,
+		     int64_t now_ms);
+void limit_check_request(struct limit_check *n, int64_t now_ms);
 
 #endif
--- a/stand/log.c
+++ b/stand/log.c
@@ -75,7 +75,7 @@
 }
 
 /* Tells whether the body is a whole number of records. */
-static bool is_whole(struct lstr body)
+static bool is_well_formed(struct lstr body)
 {
 	size_t at = 0;
 
@@ -88,8 +88,8 @@
 }
 
 /* Remembers the newest record of a key; one without a value drops it. */
-static void note_key(struct log_part *p, const char *rec, size_t n,
-		     uint64_t offset)
+static void update_newest(struct log_part *p, const char *rec, size_t n,
+			  uint64_t offset)
 {
 	size_t klen = n ? (unsigned char)rec[0] : 0;
 	struct log_newest *e;
@@ -126,13 +126,13 @@
 	}
 	*out = pr;
 	if ((uint64_t)c->epoch < pr->epoch)
-		return LOG_FENCED;
+		return LOG_STALE_EPOCH;
 	if ((uint64_t)c->epoch > pr->epoch) {
 		pr->epoch = (uint64_t)c->epoch;
 		pr->next_seq = (uint64_t)c->seq;
 		pr->nseqs = 0;
 	}
-	for (unsigned i = 0; i < pr->nseqs && i < LOG_REPEATS; i++) {
+	for (unsigned i = 0; i < pr->nseqs && i < LOG_DEDUP_MAX; i++) {
 		if (pr->seqs[i] != (uint64_t)c->seq)
 			continue;
 		*repeat = true;
@@ -142,13 +142,13 @@
 	if ((uint64_t)c->seq == pr->next_seq)
 		return LOG_OK;
 	pos->end = pr->next_seq;
-	return LOG_SEQ;
+	return LOG_BAD_SEQ;
 }
 
-static void note_producer(struct log_producer *pr, uint64_t seq,
+static void record_append(struct log_producer *pr, uint64_t seq,
 			  const struct log_position *pos)
 {
-	unsigned i = pr->nseqs++ % LOG_REPEATS;
+	unsigned i = pr->nseqs++ % LOG_DEDUP_MAX;
 
 	pr->seqs[i] = seq;
 	pr->offsets[i] = pos->offset;
@@ -158,7 +158,7 @@
 
 /*
  * log_append() adds the records of a body, all or none, if its conditions
- * hold. pos receives where they stand; for LOG_MOVED the end, for LOG_SEQ the
+ * hold. pos receives where they stand; for LOG_CONFLICT the end, for LOG_BAD_SEQ the
  * number that was expected (in `end`).
  */
 enum log_outcome log_append(struct log_part *p, struct lstr body,
@@ -169,28 +169,28 @@
 	bool repeat = false;
 	enum log_outcome rc;
 
-	if (!is_whole(body))
-		return LOG_BAD;
+	if (!is_well_formed(body))
+		return LOG_MALFORMED;
 	if (c->producer) {
 		rc = check_producer(p, c, &pr, pos, &repeat);
 		if (rc != LOG_OK || repeat)
 			return rc;
 	}
 	pos->offset = pos->end = log_end(p);
-	if (c->at >= 0 && (uint64_t)c->at != pos->end)
-		return LOG_MOVED;
+	if (c->expected_end >= 0 && (uint64_t)c->expected_end != pos->end)
+		return LOG_CONFLICT;
 	for (size_t at = 0; at < body.len;) {
 		size_t n = read_length(body.ptr + at);
 		const char *rec = body.ptr + at + LENGTH_BYTES;
 
 		if (p->keyed)
-			note_key(p, rec, n, log_end(p));
+			update_newest(p, rec, n, log_end(p));
 		g_ptr_array_add(p->records, g_bytes_new(rec, n));
 		at += LENGTH_BYTES + n;
 	}
 	pos->end = log_end(p);
 	if (pr)
-		note_producer(pr, (uint64_t)c->seq, pos);
+		record_append(pr, (uint64_t)c->seq, pos);
 	return LOG_OK;
 }
 
@@ -210,7 +210,7 @@
 	size_t begin = out->len;
 
 	if (from < p->first || from > log_end(p))
-		return LOG_GONE;
+		return LOG_OUT_OF_RANGE;
 	add_big_endian(out, log_end(p), 8);
 	add_big_endian(out, p->first, 8);
 	for (uint64_t i = from; i < log_end(p); i++) {
--- a/stand/log.h
+++ b/stand/log.h
@@ -12,12 +12,13 @@
 
 #include "misc/buf.h"
 
-enum { LOG_REPEATS = 5 }; /* appends of a producer that may be repeated */
+enum { LOG_DEDUP_MAX = 5 }; /* appends of a producer that may be repeated */
 
 struct log_producer {
 	uint64_t epoch;
 	uint64_t next_seq;
-	uint64_t seqs[LOG_REPEATS], offsets[LOG_REPEATS], ends[LOG_REPEATS];
+	uint64_t seqs[LOG_DEDUP_MAX], offsets[LOG_DEDUP_MAX],
+		ends[LOG_DEDUP_MAX];
 	unsigned nseqs;
 };
 
@@ -36,18 +37,18 @@
 
 /* Conditions of an append; unset ones are -1 or NULL. */
 struct log_condition {
-	int64_t at;
+	int64_t expected_end;
 	const char *producer;
 	int64_t epoch, seq;
 };
 
 enum log_outcome {
 	LOG_OK,
-	LOG_BAD,    /* malformed records */
-	LOG_MOVED,  /* the partition doesn't end at `at` */
-	LOG_FENCED, /* a later epoch was seen */
-	LOG_SEQ,    /* the sequence number doesn't follow */
-	LOG_GONE,   /* the records asked for are deleted, or not there yet */
+	LOG_MALFORMED,	 /* malformed records */
+	LOG_CONFLICT,	 /* the partition doesn't end at `at` */
+	LOG_STALE_EPOCH, /* a later epoch was seen */
+	LOG_BAD_SEQ,	 /* the sequence number doesn't follow */
+	LOG_OUT_OF_RANGE, /* the records asked for are deleted, or not there yet */
 };
 
 struct log_position {
--- a/stand/operator.c
+++ b/stand/operator.c
@@ -77,8 +77,8 @@
 }
 
 /* Waits until a write is answered or has failed. */
-static int finish_put(struct ev_loop *loop, struct http_client *http,
-		      unsigned served)
+static int await_put(struct ev_loop *loop, struct http_client *http,
+		     unsigned served)
 {
 	while (http->state == CLIENT_CONNECTING || http->state == CLIENT_BUSY)
 		ev_run(loop, EVRUN_ONCE);
@@ -100,13 +100,13 @@
 	stand_put(&http, loop, &store, STORE_TOPIC_CONFIG,
 		  lstr0(STORE_KEY_CONFIG), buf_lstr(&value));
 	buf_free(&value);
-	rc = finish_put(loop, &http, 0);
+	rc = await_put(loop, &http, 0);
 	http_client_close(&http);
 	return rc;
 }
 
 /* The entry of a server that isn't there, spread over the services. */
-static void write_fake(const struct deploy *d, int i, struct buf *value)
+static void write_fake_entry(const struct deploy *d, int i, struct buf *value)
 {
 	const struct service_opts *s =
 		d->services->pdata[(guint)i % d->services->len];
@@ -148,11 +148,11 @@
 		char id[32];
 
 		snprintf(id, sizeof(id), "fake-%d", i);
-		write_fake(d, i, &value);
+		write_fake_entry(d, i, &value);
 		stand_put(&http, loop, &store, STORE_TOPIC_BACKENDS, lstr0(id),
 			  buf_lstr(&value));
 		buf_free(&value);
-		rc = finish_put(loop, &http, served);
+		rc = await_put(loop, &http, served);
 	}
 	http_client_close(&http);
 	return rc;
--- a/stand/proxy.c
+++ b/stand/proxy.c
@@ -54,19 +54,19 @@
 struct link {
 	struct proxy *proxy;
 	struct side caller, server;
-	bool ending; /* one end has closed: what is left goes out */
+	bool closing; /* one end has closed: what is left goes out */
 };
 
 static void side_close(struct ev_loop *loop, struct side *s, bool reset)
 {
-	struct linger at_once = {1, 0};
+	struct linger reset_now = {1, 0};
 
 	ev_io_stop(loop, &s->readable);
 	ev_io_stop(loop, &s->writable);
 	ev_timer_stop(loop, &s->delay);
 	if (reset)
-		setsockopt(s->fd, SOL_SOCKET, SO_LINGER, &at_once,
-			   sizeof(at_once));
+		setsockopt(s->fd, SOL_SOCKET, SO_LINGER, &reset_now,
+			   sizeof(reset_now));
 	close(s->fd);
 	buf_free(&s->out);
 }
@@ -93,7 +93,7 @@
 	if (s->out.len)
 		return;
 	ev_io_stop(loop, &s->writable);
-	if (s->link->ending)
+	if (s->link->closing)
 		link_close(s->link, false);
 }
 
@@ -105,7 +105,7 @@
 }
 
 /* Passes bytes on to a side, now or later, or not at all. */
-static void pass_on(struct side *to, const char *bytes, size_t n)
+static void forward_bytes(struct side *to, const char *bytes, size_t n)
 {
 	struct proxy *p = to->link->proxy;
 
@@ -127,13 +127,13 @@
 	ssize_t n = recv(s->fd, bytes, sizeof(bytes), 0);
 
 	if (n > 0) {
-		pass_on(s->other, bytes, (size_t)n);
+		forward_bytes(s->other, bytes, (size_t)n);
 		return;
 	}
 	if (n < 0 && errno == EAGAIN)
 		return;
 	ev_io_stop(loop, &s->readable);
-	s->link->ending = true;
+	s->link->closing = true;
 	if (n < 0 || s->other->out.len == 0)
 		link_close(s->link, n < 0);
 }
@@ -154,7 +154,7 @@
 static void on_accept(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct port *port = io->data;
-	struct linger at_once = {1, 0};
+	struct linger reset_now = {1, 0};
 	int fd = accept4(io->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
 	int server;
 	struct link *l;
@@ -165,8 +165,8 @@
 	server = port->proxy->refuse ? -ECONNREFUSED
 				     : socket_connect(&port->target);
 	if (server < 0) {
-		setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once,
-			   sizeof(at_once));
+		setsockopt(fd, SOL_SOCKET, SO_LINGER, &reset_now,
+			   sizeof(reset_now));
 		close(fd);
 		return;
 	}
@@ -178,7 +178,7 @@
 	g_ptr_array_add(port->proxy->links, l);
 }
 
-static void reset_all(struct proxy *p)
+static void reset_links(struct proxy *p)
 {
 	GPtrArray *all = p->links;
 
@@ -201,7 +201,7 @@
 		p->silent_down = both || !strcmp(silent, "down");
 	}
 	if (query_int(q, "reset", 0))
-		reset_all(p);
+		reset_links(p);
 }
 
 static void on_control(void *priv, struct http_conn *c, struct http_message *m)
@@ -241,20 +241,20 @@
 	return socket_addr(target, &port->target);
 }
 
-static int open_service(struct proxy *p, const struct service_opts *s)
+static int open_service_ports(struct proxy *p, const struct service_opts *s)
 {
-	char told[64], real[64];
+	char advertised[64], real[64];
 	int rc = 0;
 
 	for (int i = 0; i < s->workers && !rc; i++) {
 		deploy_worker_addr(s, i, real, sizeof(real));
-		deploy_worker_told(s, i, told, sizeof(told));
-		rc = open_port(p, told, real);
+		deploy_worker_told(s, i, advertised, sizeof(advertised));
+		rc = open_port(p, advertised, real);
 	}
 	return rc;
 }
 
-static int open_control(struct proxy *p, const char *first)
+static int open_control_port(struct proxy *p, const char *first)
 {
 	char host[32], addr[64];
 	int port;
@@ -287,12 +287,12 @@
 		if (!s || s->proxy_offset == 0)
 			return -ENOENT;
 		deploy_worker_told(s, 0, first, sizeof(first));
-		rc = open_service(&p, s);
+		rc = open_service_ports(&p, s);
 	} else {
 		rc = open_port(&p, d->entry.platform, d->platform.listen);
 	}
 	if (!rc)
-		rc = open_control(&p, first);
+		rc = open_control_port(&p, first);
 	if (rc)
 		return rc;
 	ev_run(p.loop, 0);
--- a/stand/query.c
+++ b/stand/query.c
@@ -6,12 +6,12 @@
 char *query_split(struct lstr target, struct query *q)
 {
 	char *text = g_strndup(target.ptr, target.len);
-	char *mark = strchr(text, '?');
+	char *separator = strchr(text, '?');
 
 	q->items = NULL;
-	if (mark) {
-		*mark = '\0';
-		q->items = g_uri_parse_params(mark + 1, -1, "&",
+	if (separator) {
+		*separator = '\0';
+		q->items = g_uri_parse_params(separator + 1, -1, "&",
 					      G_URI_PARAMS_NONE, NULL);
 	}
 	if (!q->items)
@@ -26,11 +26,11 @@
 }
 
 /* query_int() returns an item as a whole number, or the standard value. */
-int64_t query_int(const struct query *q, const char *name, int64_t standard)
+int64_t query_int(const struct query *q, const char *name, int64_t fallback)
 {
 	const char *s = query_text(q, name);
 
-	return s ? g_ascii_strtoll(s, NULL, 10) : standard;
+	return s ? g_ascii_strtoll(s, NULL, 10) : fallback;
 }
 
 /* query_free() frees the items. */
--- a/stand/query.h
+++ b/stand/query.h
@@ -14,7 +14,7 @@
 
 char *query_split(struct lstr target, struct query *q);
 const char *query_text(const struct query *q, const char *name);
-int64_t query_int(const struct query *q, const char *name, int64_t standard);
+int64_t query_int(const struct query *q, const char *name, int64_t fallback);
 void query_free(struct query *q);
 
 #endif
--- a/stand/server.h
+++ b/stand/server.h
@@ -4,7 +4,7 @@
 
 #include "http/server.h"
 #include "stand/faults.h"
-#include "stand/need.h"
+#include "stand/limit_check.h"
 #include "stand/audit.h"
 #include "stand/stand.h"
 #include "stand/work.h"
@@ -15,14 +15,14 @@
 	struct http_server http;
 	struct work work;
 	struct faults faults;
-	struct need need;
+	struct limit_check limit_check;
 	struct audit audit;
 	char id[BACKEND_NAME_MAX], addr[32], dc[BACKEND_NAME_MAX];
 	struct http_client store;
 	struct sockaddr_in store_addr;
-	ev_timer beat, drained;
-	char told[64]; /* where others reach it */
-	unsigned beats;
+	ev_timer register_timer, drain_timer;
+	char advertised_addr[64]; /* where others reach it */
+	unsigned registrations;
 	int64_t leaving_ms; /* 0: not leaving */
 };
 
@@ -33,11 +33,11 @@
 	struct http_message *message;
 	ev_timer timer;
 	bool waiting;
-	bool refused; /* it is turned away when its timer ends */
+	bool rejected; /* it is turned away when its timer ends */
 };
 
 void server_write_stats(struct buf *out, const struct server *s);
-void server_list_start(struct server *s);
-void server_list_write(struct server *s);
+void server_register_start(struct server *s);
+void server_register(struct server *s);
 
 #endif
--- a/stand/server_list.c
+++ b/stand/server_list.c
@@ -1,17 +1,17 @@
 #include "misc/codec.h"
 #include "stand/server.h"
 
-enum { BEAT_MS = 500 };
+enum { REGISTER_INTERVAL_MS = 500 };
 
 /* The record by which the system finds this server. */
-static void write_record(struct server *s, struct buf *value)
+static void write_registration(struct server *s, struct buf *value)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, value, codec_buf_write);
 	msgpack_pack_map(&pk, 3);
 	codec_pack_cstr(&pk, "address");
-	codec_pack_cstr(&pk, s->told);
+	codec_pack_cstr(&pk, s->advertised_addr);
 	codec_pack_cstr(&pk, "info");
 	msgpack_pack_map(&pk, 4);
 	codec_pack_cstr(&pk, "service");
@@ -27,33 +27,34 @@
 	codec_pack_cstr(&pk, "state");
 	codec_pack_cstr(&pk, s->leaving_ms ? "draining" : "ready");
 	codec_pack_cstr(&pk, "sequenceNumber");
-	msgpack_pack_uint32(&pk, s->beats++);
+	msgpack_pack_uint32(&pk, s->registrations++);
 	codec_pack_cstr(&pk, "warmupLeftMs");
 	msgpack_pack_uint32(&pk, 0);
 }
 
-/* server_list_write() writes the entry now, unless it is to lapse. */
-void server_list_write(struct server *s)
+/* server_register() writes the entry now, unless it is to lapse. */
+void server_register(struct server *s)
 {
 	struct buf value = {0};
 
 	if (s->faults.unlisted)
 		return;
-	write_record(s, &value);
+	write_registration(s, &value);
 	stand_put(&s->store, s->loop, &s->store_addr, STORE_TOPIC_BACKENDS,
 		  lstr0(s->id), buf_lstr(&value));
 	buf_free(&value);
 }
 
-static void on_beat(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_register_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	server_list_write(t->data);
+	server_register(t->data);
 }
 
-/* server_list_start() writes it now and from time to time. */
-void server_list_start(struct server *s)
+/* server_register_start() writes it now and from time to time. */
+void server_register_start(struct server *s)
 {
-	ev_timer_init(&s->beat, on_beat, 0, BEAT_MS / 1000.0);
-	s->beat.data = s;
-	ev_timer_start(s->loop, &s->beat);
+	ev_timer_init(&s->register_timer, on_register_timer, 0,
+		      REGISTER_INTERVAL_MS / 1000.0);
+	s->register_timer.data = s;
+	ev_timer_start(s->loop, &s->register_timer);
 }
--- a/stand/server_stats.c
+++ b/stand/server_stats.c
@@ -19,7 +19,8 @@
 	buf_printf(out,
 		   "limited_got %" PRIu64 "\nlimited_worst %u\n"
 		   "limited_allowed %g\n",
-		   s->need.got, s->need.worst, s->need.allowed);
+		   s->limit_check.requests, s->limit_check.worst,
+		   s->limit_check.allowed);
 	buf_printf(out,
 		   "backoffs %" PRIu64 "\nbackoff_got %" PRIu64
 		   "\nbackoff_questions %" PRIu64 "\nbackoff_worst %u\n"
--- a/stand/store.c
+++ b/stand/store.c
@@ -17,8 +17,8 @@
 #include "misc/clock.h"
 #include "misc/codec.h"
 #include "platform/store.h"
-#include "stand/drill.h"
-#include "stand/lapse.h"
+#include "stand/backup.h"
+#include "stand/lease.h"
 #include "stand/listing.h"
 #include "stand/log.h"
 #include "stand/query.h"
@@ -34,13 +34,13 @@
 struct store {
 	struct ev_loop *loop;
 	struct http_server http;
-	GHashTable *topics; /* "topic/part" -> struct log_part * */
-	GList *parked;	    /* struct parked * */
-	struct drill drill;
+	GHashTable *topics;  /* "topic/part" -> struct log_part * */
+	GList *held_replies; /* struct parked * */
+	struct backup backup;
 	char down[16];
 	int slow_ms, lost_pct;
-	struct lapse beats;
-	ev_timer lapse;
+	struct lease leases;
+	ev_timer lease_timer;
 	int append_limit; /* a second */
 	int64_t limit_s;
 	int appends;
@@ -48,7 +48,7 @@
 };
 
 /* A read that waits for a record, or an answer that is held back. */
-struct parked {
+struct held_reply {
 	struct store *store;
 	struct http_conn *conn;
 	ev_timer timer;
@@ -70,7 +70,7 @@
 	return g_strdup_printf("%s/%s", topic ? topic : "", part ? part : "0");
 }
 
-static struct log_part *part_named(struct store *s, const char *name)
+static struct log_part *get_part(struct store *s, const char *name)
 {
 	struct log_part *p = g_hash_table_lookup(s->topics, name);
 
@@ -84,18 +84,18 @@
 static struct log_part *find_part(struct store *s, const struct query *q)
 {
 	char *name = part_name(q);
-	struct log_part *p = part_named(s, name);
+	struct log_part *p = get_part(s, name);
 
 	g_free(name);
 	return p;
 }
 
-static void reply_of_era(struct store *s, struct http_conn *c, uint64_t era,
+static void reply_in_era(struct store *s, struct http_conn *c, uint64_t era,
 			 unsigned status, struct lstr body)
 {
 	struct buf headers = {0};
 
-	drill_write_era(&s->drill, era, &headers);
+	backup_write_era(&s->backup, era, &headers);
 	http_conn_reply(c, &(struct http_reply){.status = status,
 						.headers = buf_lstr(&headers),
 						.body = body});
@@ -105,12 +105,12 @@
 static void reply(struct store *s, struct http_conn *c, unsigned status,
 		  struct lstr body)
 {
-	reply_of_era(s, c, s->drill.era, status, body);
+	reply_in_era(s, c, s->backup.era, status, body);
 }
 
-static void parked_free(struct parked *k)
+static void held_reply_free(struct held_reply *k)
 {
-	k->store->parked = g_list_remove(k->store->parked, k);
+	k->store->held_replies = g_list_remove(k->store->held_replies, k);
 	ev_timer_stop(k->store->loop, &k->timer);
 	buf_free(&k->body);
 	g_free(k->name);
@@ -118,56 +118,57 @@
 }
 
 /* Answers a parked read with what is there now. */
-static void finish_parked(struct parked *k)
+static void send_held_reply(struct held_reply *k)
 {
 	struct http_conn *c = k->conn;
 	struct buf body = k->body;
 	unsigned status = k->status;
 	struct store *s = k->store;
-	uint64_t era = k->is_read ? s->drill.era : k->era;
+	uint64_t era = k->is_read ? s->backup.era : k->era;
 
 	k->body = (struct buf){0};
 	if (k->is_read && log_read(k->part, k->from, k->max, &body))
 		status = 410;
-	parked_free(k);
+	held_reply_free(k);
 	http_conn_set_user(c, NULL);
-	reply_of_era(s, c, era, status, buf_lstr(&body));
+	reply_in_era(s, c, era, status, buf_lstr(&body));
 	buf_free(&body);
 }
 
-static void on_parked_timer(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_held_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	finish_parked(t->data);
+	send_held_reply(t->data);
 }
 
-static struct parked *park(struct store *s, struct http_conn *c, int ms)
+static struct held_reply *hold_reply(struct store *s, struct http_conn *c,
+				     int ms)
 {
-	struct parked *k = g_new0(struct parked, 1);
+	struct held_reply *k = g_new0(struct held_reply, 1);
 
 	k->store = s;
 	k->conn = c;
 	k->status = 200;
-	k->era = s->drill.era;
-	ev_timer_init(&k->timer, on_parked_timer, ms / 1000.0, 0);
+	k->era = s->backup.era;
+	ev_timer_init(&k->timer, on_held_timer, ms / 1000.0, 0);
 	k->timer.data = k;
 	ev_timer_start(s->loop, &k->timer);
-	s->parked = g_list_prepend(s->parked, k);
+	s->held_replies = g_list_prepend(s->held_replies, k);
 	http_conn_set_user(c, k);
 	return k;
 }
 
 /* Answers, later if the store is slow; takes the body's memory. */
-static void reply_slowly(struct store *s, struct http_conn *c, unsigned status,
-			 struct buf *body)
+static void reply_delayed(struct store *s, struct http_conn *c, unsigned status,
+			  struct buf *body)
 {
-	struct parked *k;
+	struct held_reply *k;
 
 	if (s->slow_ms == 0) {
 		reply(s, c, status, buf_lstr(body));
 		buf_free(body);
 		return;
 	}
-	k = park(s, c, s->slow_ms);
+	k = hold_reply(s, c, s->slow_ms);
 	k->status = status;
 	k->body = *body;
 	*body = (struct buf){0};
@@ -178,12 +179,12 @@
 {
 	GList *next;
 
-	for (GList *l = s->parked; l; l = next) {
-		struct parked *k = l->data;
+	for (GList *l = s->held_replies; l; l = next) {
+		struct held_reply *k = l->data;
 
 		next = l->next;
 		if (k->is_read && k->part == p)
-			finish_parked(k);
+			send_held_reply(k);
 	}
 }
 
@@ -203,14 +204,14 @@
 	switch (rc) {
 	case LOG_OK:
 		return 200;
-	case LOG_MOVED:
+	case LOG_CONFLICT:
 		return 412;
-	case LOG_FENCED:
-	case LOG_SEQ:
+	case LOG_STALE_EPOCH:
+	case LOG_BAD_SEQ:
 		return 409;
-	case LOG_GONE:
+	case LOG_OUT_OF_RANGE:
 		return 410;
-	case LOG_BAD:
+	case LOG_MALFORMED:
 		break;
 	}
 	return 400;
@@ -229,22 +230,22 @@
 }
 
 /* Drops the entries of servers that have not written for too long. */
-static void on_lapse(struct ev_loop *loop, ev_timer *t, int revents)
+static void on_lease_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct store *s = t->data;
 	struct log_part *p =
 		g_hash_table_lookup(s->topics, STORE_TOPIC_BACKENDS "/0");
 
-	if (p && lapse_drop(&s->beats, p, clock_ms()))
+	if (p && lease_expire(&s->leases, p, clock_ms()))
 		wake_reads(s, p);
 }
 
-static void do_append(struct store *s, struct http_conn *c,
-		      const struct query *q, const struct http_message *m)
+static void handle_append(struct store *s, struct http_conn *c,
+			  const struct query *q, const struct http_message *m)
 {
 	struct log_part *p = find_part(s, q);
 	struct log_condition cond = {
-		.at = query_int(q, "at", -1),
+		.expected_end = query_int(q, "at", -1),
 		.producer = query_text(q, "producer"),
 		.epoch = query_int(q, "epoch", 0),
 		.seq = query_int(q, "sequenceNumber", 0),
@@ -257,14 +258,14 @@
 		reply(s, c, 429, LSTR(""));
 		return;
 	}
-	if (lapse_is_repeat(&s->beats, p, q, buf_lstr(&m->body))) {
+	if (lease_is_repeat(&s->leases, p, q, buf_lstr(&m->body))) {
 		pos = (struct log_position){log_end(p), log_end(p)};
 		rc = LOG_OK;
 	} else {
 		rc = log_append(p, buf_lstr(&m->body), &cond, &pos);
 	}
 	if (rc == LOG_OK) {
-		lapse_note(&s->beats, q, buf_lstr(&m->body), clock_ms());
+		lease_renew(&s->leases, q, buf_lstr(&m->body), clock_ms());
 		wake_reads(s, p);
 	}
 	if (rc == LOG_OK && g_rand_int_range(s->rand, 0, 100) < s->lost_pct) {
@@ -272,20 +273,21 @@
 		return;
 	}
 	write_positions(&body, &pos);
-	reply_slowly(s, c, status_of(rc), &body);
+	reply_delayed(s, c, status_of(rc), &body);
 }
 
-static void do_read(struct store *s, struct http_conn *c, const struct query *q)
+static void handle_read(struct store *s, struct http_conn *c,
+			const struct query *q)
 {
 	struct log_part *p = find_part(s, q);
 	uint64_t from = (uint64_t)query_int(q, "startRevision", 0);
 	int64_t wait = query_int(q, "waitMs", 0);
 	size_t max = (size_t)query_int(q, "maxKb", READ_DEFAULT_KB) << 10;
 	struct buf body = {0};
-	struct parked *k;
+	struct held_reply *k;
 
 	if (from == log_end(p) && wait > 0) {
-		k = park(s, c, (int)MIN(wait, WAIT_MAX_MS));
+		k = hold_reply(s, c, (int)MIN(wait, WAIT_MAX_MS));
 		k->is_read = true;
 		k->part = p;
 		k->name = part_name(q);
@@ -295,26 +297,27 @@
 	}
 	enum log_outcome rc = log_read(p, from, max, &body);
 
-	reply_slowly(s, c, status_of(rc), &body);
+	reply_delayed(s, c, status_of(rc), &body);
 }
 
-static void do_newest(struct store *s, struct http_conn *c,
-		      const struct query *q)
+static void handle_list(struct store *s, struct http_conn *c,
+			const struct query *q)
 {
 	struct buf body = {0};
 
 	listing_write(find_part(s, q), query_text(q, "after"), &body);
-	reply_slowly(s, c, 200, &body);
+	reply_delayed(s, c, 200, &body);
 }
 
-static void do_trim(struct store *s, struct http_conn *c, const struct query *q)
+static void handle_trim(struct store *s, struct http_conn *c,
+			const struct query *q)
 {
 	log_trim(find_part(s, q), (uint64_t)query_int(q, "before", 0));
 	reply(s, c, 200, LSTR(""));
 }
 
 /* Deletes the history; the newest of each key stays. */
-static void forget(struct store *s)
+static void trim_all(struct store *s)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -325,39 +328,40 @@
 }
 
 /* What becomes of a read that waits while the store comes back from a copy. */
-static void disturb_read(struct store *s, struct parked *k, const char *how)
+static void interrupt_read(struct store *s, struct held_reply *k,
+			   const char *how)
 {
 	struct http_conn *c = k->conn;
 
 	if (!strcmp(how, "reset")) {
-		parked_free(k);
+		held_reply_free(k);
 		http_conn_abort(c);
 	} else if (!strcmp(how, "answer")) {
-		k->part = part_named(s, k->name);
-		finish_parked(k);
+		k->part = get_part(s, k->name);
+		send_held_reply(k);
 	} else {
 		http_conn_set_user(c, NULL);
-		parked_free(k);
+		held_reply_free(k);
 	}
 }
 
-static void restore(struct store *s, const char *how)
+static void restore_backup(struct store *s, const char *how)
 {
-	GList *parked = g_list_copy(s->parked);
+	GList *held = g_list_copy(s->held_replies);
 
-	s->topics = drill_restore(&s->drill);
-	lapse_restart(&s->beats, part_named(s, STORE_TOPIC_BACKENDS "/0"),
+	s->topics = backup_restore(&s->backup);
+	lease_restart(&s->leases, get_part(s, STORE_TOPIC_BACKENDS "/0"),
 		      clock_ms());
-	for (GList *l = parked; l; l = l->next) {
-		if (g_list_find(s->parked, l->data) &&
-		    ((struct parked *)l->data)->is_read)
-			disturb_read(s, l->data, how);
+	for (GList *l = held; l; l = l->next) {
+		if (g_list_find(s->held_replies, l->data) &&
+		    ((struct held_reply *)l->data)->is_read)
+			interrupt_read(s, l->data, how);
 	}
-	g_list_free(parked);
+	g_list_free(held);
 }
 
-static void do_faults(struct store *s, struct http_conn *c,
-		      const struct query *q)
+static void handle_faults(struct store *s, struct http_conn *c,
+			  const struct query *q)
 {
 	const char *down = query_text(q, "down");
 	const char *how = query_text(q, "restore");
@@ -367,15 +371,15 @@
 			  sizeof(s->down));
 	s->slow_ms = (int)query_int(q, "slow_ms", s->slow_ms);
 	s->lost_pct = (int)query_int(q, "lost_pct", s->lost_pct);
-	drill_set(&s->drill, q);
-	s->beats.changes_only =
-		query_int(q, "changes_only", s->beats.changes_only);
+	backup_set(&s->backup, q);
+	s->leases.changes_only =
+		query_int(q, "changes_only", s->leases.changes_only);
 	if (query_int(q, "copy", 0))
-		drill_copy(&s->drill, s->topics);
+		backup_save(&s->backup, s->topics);
 	if (how)
-		restore(s, how);
+		restore_backup(s, how);
 	if (query_int(q, "forget", 0))
-		forget(s);
+		trim_all(s);
 	reply(s, c, 200, LSTR(""));
 }
 
@@ -392,7 +396,7 @@
 }
 
 /* The system may not write what the operator and the servers write. */
-static bool is_foreign_topic(const struct query *q)
+static bool is_protected_topic(const struct query *q)
 {
 	const char *topic = query_text(q, "topic");
 
@@ -407,19 +411,19 @@
 	char *path = query_split(m->target, &q);
 
 	if (!strcmp(path, "/stand/faults"))
-		do_faults(s, c, &q);
+		handle_faults(s, c, &q);
 	else if (is_down(s, c))
 		g_debug("request while down");
 	else if (!strcmp(path, "/log-read"))
-		do_read(s, c, &q);
+		handle_read(s, c, &q);
 	else if (!strcmp(path, "/log-newest"))
-		do_newest(s, c, &q);
-	else if (!strcmp(path, "/log-append") && is_foreign_topic(&q))
+		handle_list(s, c, &q);
+	else if (!strcmp(path, "/log-append") && is_protected_topic(&q))
 		reply(s, c, 403, LSTR(""));
 	else if (!strcmp(path, "/log-append") || !strcmp(path, "/stand/append"))
-		do_append(s, c, &q, m);
+		handle_append(s, c, &q, m);
 	else if (!strcmp(path, "/log-trim"))
-		do_trim(s, c, &q);
+		handle_trim(s, c, &q);
 	else
 		reply(s, c, 404, LSTR(""));
 	g_free(path);
@@ -429,10 +433,10 @@
 
 static void on_gone(void *priv, struct http_conn *c)
 {
-	struct parked *k = http_conn_user(c);
+	struct held_reply *k = http_conn_user(c);
 
 	if (k)
-		parked_free(k);
+		held_reply_free(k);
 }
 
 static const struct http_server_ops ops = {on_request, on_gone};
@@ -451,12 +455,12 @@
 
 	s.loop = ev_default_loop(EVFLAG_NOENV);
 	s.topics = g_hash_table_new(g_str_hash, g_str_equal);
-	drill_init(&s.drill);
-	lapse_init(&s.beats, d->platform.member_ttl_ms);
+	backup_init(&s.backup);
+	lease_init(&s.leases, d->platform.member_ttl_ms);
 	s.rand = g_rand_new();
-	ev_timer_init(&s.lapse, on_lapse, 0.2, 0.2);
-	s.lapse.data = &s;
-	ev_timer_start(s.loop, &s.lapse);
+	ev_timer_init(&s.lease_timer, on_lease_timer, 0.2, 0.2);
+	s.lease_timer.data = &s;
+	ev_timer_start(s.loop, &s.lease_timer);
 	s.http.limits = (struct http_limits){HEAD_MAX, BODY_MAX};
 	s.http.head_timeout_s = 5;
 	s.http.idle_timeout_s = 3600;
--- a/stand/work.c
+++ b/stand/work.c
@@ -4,8 +4,8 @@
 
 enum {
 	QUEUE_PER_SLOT = 2,
-	COLD_MS = 2000, /* slow start */
-	COLD_FACTOR = 2,
+	SLOW_START_MS = 2000, /* slow start */
+	SLOW_START_FACTOR = 2,
 	NOISE_PERIOD_MS = 300,
 	NOISE_PCT = 25, /* chance of a slow spell each period */
 	NOISE_FACTOR = 4,
@@ -30,8 +30,8 @@
 	w->ran = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-/* work_enter() takes a job in: to run now, to wait, or not at all. */
-enum work_entry work_enter(struct work *w, void *job)
+/* work_admit() takes a job in: to run now, to wait, or not at all. */
+enum work_admission work_admit(struct work *w, void *job)
 {
 	w->calls++;
 	if (w->running < w->slots) {
@@ -46,8 +46,8 @@
 	return WORK_WAIT;
 }
 
-/* work_leave() ends a running job; returns the job that runs next, if any. */
-void *work_leave(struct work *w)
+/* work_finish() ends a running job; returns the job that runs next, if any. */
+void *work_finish(struct work *w)
 {
 	void *next = g_queue_pop_head(&w->waiting);
 
@@ -62,8 +62,8 @@
 	g_queue_remove(&w->waiting, job);
 }
 
-/* work_note_run() records that the job with this key began to run. */
-void work_note_run(struct work *w, const char *key)
+/* work_record_run() records that the job with this key began to run. */
+void work_record_run(struct work *w, const char *key)
 {
 	int n = GPOINTER_TO_INT(g_hash_table_lookup(w->ran, key));
 
@@ -88,8 +88,8 @@
 {
 	double f = work_slowdown_pct(w, now_ms) / 100.0;
 
-	if (!w->quiet && now_ms - w->started_ms < COLD_MS)
-		f *= COLD_FACTOR;
+	if (!w->quiet && now_ms - w->started_ms < SLOW_START_MS)
+		f *= SLOW_START_FACTOR;
 	if (w->running > KNEE_SHARE * w->slots)
 		f *= KNEE_FACTOR;
 	return w->work_ms * f * (0.5 - 0.5 * log(1.0 - g_rand_double(w->rand)));
--- a/stand/work.h
+++ b/stand/work.h
@@ -22,14 +22,14 @@
 	uint64_t calls, refused, probes, late;
 };
 
-enum work_entry { WORK_RUN, WORK_WAIT, WORK_FULL };
+enum work_admission { WORK_RUN, WORK_WAIT, WORK_FULL };
 
 void work_init(struct work *w, unsigned slots, double work_ms, uint32_t seed,
 	       int64_t now_ms);
-enum work_entry work_enter(struct work *w, void *job);
-void *work_leave(struct work *w);
+enum work_admission work_admit(struct work *w, void *job);
+void *work_finish(struct work *w);
 void work_cancel(struct work *w, void *job);
-void work_note_run(struct work *w, const char *key);
+void work_record_run(struct work *w, const char *key);
 double work_duration_ms(struct work *w, int64_t now_ms);
 unsigned work_slowdown_pct(struct work *w, int64_t now_ms);
 
--- a/tests/test_log.c
+++ b/tests/test_log.c
@@ -3,7 +3,7 @@
 
 #include "stand/log.h"
 
-static const struct log_condition none = {.at = -1};
+static const struct log_condition none = {.expected_end = -1};
 
 static struct lstr record(struct buf *b, const char *content, size_t n)
 {
@@ -33,9 +33,9 @@
 	/* Half a record is none. */
 	assert_int_equal(
 		log_append(p, (struct lstr){"\0\0\0\5ab", 6}, &none, &pos),
-		LOG_BAD);
+		LOG_MALFORMED);
 	log_trim(p, 1);
-	assert_int_equal(log_read(p, 0, 1000, &out), LOG_GONE);
+	assert_int_equal(log_read(p, 0, 1000, &out), LOG_OUT_OF_RANGE);
 	assert_int_equal(log_read(p, 1, 1000, &out), LOG_OK);
 	assert_int_equal(log_end(p), 2);
 	buf_free(&b);
@@ -45,13 +45,13 @@
 static void test_condition(void **state)
 {
 	struct log_part *p = log_part_new(false);
-	struct log_condition at0 = {.at = 0};
+	struct log_condition at0 = {.expected_end = 0};
 	struct log_position pos;
 	struct buf b = {0};
 
 	assert_int_equal(log_append(p, record(&b, "a", 1), &at0, &pos), LOG_OK);
 	assert_int_equal(log_append(p, record(&b, "a", 1), &at0, &pos),
-			 LOG_MOVED);
+			 LOG_CONFLICT);
 	assert_int_equal(pos.end, 1);
 	assert_int_equal(log_end(p), 1);
 	buf_free(&b);
@@ -61,7 +61,7 @@
 {
 	struct log_part *p = log_part_new(false);
 	struct log_condition c = {
-		.at = -1, .producer = "w", .epoch = 7, .seq = 12};
+		.expected_end = -1, .producer = "w", .epoch = 7, .seq = 12};
 	struct log_position pos;
 	struct buf b = {0};
 
@@ -71,14 +71,15 @@
 	assert_int_equal(pos.offset, 0);
 	assert_int_equal(log_end(p), 1);
 	c.seq = 14;
-	assert_int_equal(log_append(p, record(&b, "a", 1), &c, &pos), LOG_SEQ);
+	assert_int_equal(log_append(p, record(&b, "a", 1), &c, &pos),
+			 LOG_BAD_SEQ);
 	assert_int_equal(pos.end, 13);
 	c.epoch = 8;
 	c.seq = 0;
 	assert_int_equal(log_append(p, record(&b, "a", 1), &c, &pos), LOG_OK);
 	c.epoch = 7;
 	assert_int_equal(log_append(p, record(&b, "a", 1), &c, &pos),
-			 LOG_FENCED);
+			 LOG_STALE_EPOCH);
 	buf_free(&b);
 }
 
--- a/tests/test_values.c
+++ b/tests/test_values.c
@@ -15,7 +15,7 @@
 static enum log_outcome write_at(struct log_part *topic,
 				 const struct conf_values *v, uint64_t end)
 {
-	struct log_condition cond = {.at = (int64_t)end};
+	struct log_condition cond = {.expected_end = (int64_t)end};
 	struct log_position pos;
 	struct buf value = {0}, rec = {0};
 	size_t klen = strlen(CONF_KEY);
@@ -88,12 +88,12 @@
 	assert_int_equal(apply(&one, 1, "one", "x=1"), 0);
 	assert_int_equal(apply(&two, 1, "two", "x=2"), 0);
 	assert_int_equal(write_at(topic, &two, end2), LOG_OK);
-	assert_int_equal(write_at(topic, &one, end1), LOG_MOVED);
+	assert_int_equal(write_at(topic, &one, end1), LOG_CONFLICT);
 	read_newest(topic, &now);
 	assert_int_equal(now.version, 2);
 	assert_string_equal(conf_get(&now, "x"), "2");
 	/* A second copy of the write that won is refused as well. */
-	assert_int_equal(write_at(topic, &two, end2), LOG_MOVED);
+	assert_int_equal(write_at(topic, &two, end2), LOG_CONFLICT);
 	conf_clear(&one);
 	conf_clear(&two);
 	conf_clear(&now);
--- a/tools/ctl.c
+++ b/tools/ctl.c
@@ -32,12 +32,12 @@
 	struct store_position end; /* of the topic when it was read */
 	int err;		   /* of the last call */
 	int last;		   /* log: how many versions to print */
-	bool print;
-	bool writes; /* the call under way is a write */
+	bool print_log;
+	bool writing; /* the call under way is a write */
 };
 
 /* Takes the newest version out of a listing. */
-static void take_live(struct ctl *c, const struct store_result *r)
+static void decode_live(struct ctl *c, const struct store_result *r)
 {
 	conf_clear(&c->live);
 	conf_init(&c->live);
@@ -70,14 +70,14 @@
 	struct ctl *c = priv;
 
 	c->err = r->err;
-	if (!r->err && c->print)
+	if (!r->err && c->print_log)
 		print_versions(c, r);
-	else if (!r->err && !c->writes)
-		take_live(c, r);
+	else if (!r->err && !c->writing)
+		decode_live(c, r);
 	ev_break(c->loop, EVBREAK_ALL);
 }
 
-static int wait_call(struct ctl *c)
+static int await_call(struct ctl *c)
 {
 	if (c->store.call != STORE_NO_CALL)
 		ev_run(c->loop, 0);
@@ -88,7 +88,7 @@
 static int read_live(struct ctl *c)
 {
 	store_newest(&c->store, CONF_TOPIC, LSTR(""));
-	return wait_call(c);
+	return await_call(c);
 }
 
 /* Writes the version in c->live if the topic still ends where it did. */
@@ -101,9 +101,9 @@
 	store_append(&c->store, CONF_TOPIC, lstr0(CONF_KEY), buf_lstr(&record),
 		     &c->end);
 	buf_free(&record);
-	c->writes = true;
-	rc = wait_call(c);
-	c->writes = false;
+	c->writing = true;
+	rc = await_call(c);
+	c->writing = false;
 	return rc;
 }
 
@@ -118,7 +118,7 @@
 }
 
 /* One figure of an instance's metrics; -1: not there. */
-static double figure(const char *metrics, const char *name)
+static double metric_value(const char *metrics, const char *name)
 {
 	char *key = g_strdup_printf("\n%s ", name);
 	const char *at = strstr(metrics, key);
@@ -131,7 +131,7 @@
 /* One short line for each entry instance: fits a phone's screen. */
 static int print_status(const struct deploy *d)
 {
-	int silent = 0;
+	int unreachable = 0;
 
 	printf("%-8s %7s %7s %5s %5s %5s\n", "entry", "version", "age_ms",
 	       "peers", "open", "lost");
@@ -143,25 +143,25 @@
 		if (fetch(en->listen, "GET", "/admin/metrics",
 			  METRICS_TIMEOUT_MS, &body) != 200) {
 			printf("%-8s no answer\n", en->name);
-			silent++;
+			unreachable++;
 			buf_free(&body);
 			continue;
 		}
 		buf_add(&body, "", 1);
 		/* Instances count the settings as version 1. */
 		printf("%-8s %7.0f %7.0f %5.0f %5.0f %5.0f\n", en->name,
-		       figure(body.ptr, "config_version") - 1,
-		       figure(body.ptr, "backend_list_age_ms"),
-		       figure(body.ptr, "instances"),
-		       figure(body.ptr, "open_requests"),
-		       figure(body.ptr, "log_lines_lost"));
+		       metric_value(body.ptr, "config_version") - 1,
+		       metric_value(body.ptr, "backend_list_age_ms"),
+		       metric_value(body.ptr, "instances"),
+		       metric_value(body.ptr, "open_requests"),
+		       metric_value(body.ptr, "log_lines_lost"));
 		buf_free(&body);
 	}
-	return silent ? EXIT_UNREACHABLE : 0;
+	return unreachable ? EXIT_UNREACHABLE : 0;
 }
 
 /* The version that an entry instance says it has in force; 0: none. */
-static uint64_t version_at(const struct entry_opts *en)
+static uint64_t applied_version(const struct entry_opts *en)
 {
 	static const char name[] = "config_version ";
 	struct buf body = {0};
@@ -180,24 +180,25 @@
 }
 
 /* Asks every entry instance until all have the version, or too long. */
-static int wait_everywhere(const struct deploy *d, uint64_t version)
+static int wait_all_entries(const struct deploy *d, uint64_t version)
 {
 	int64_t t0 = clock_ms();
-	guint have = 0;
+	guint applied = 0;
 
-	while (clock_ms() - t0 < WAIT_MS && have < d->entries->len) {
-		have = 0;
+	while (clock_ms() - t0 < WAIT_MS && applied < d->entries->len) {
+		applied = 0;
 		for (guint i = 0; i < d->entries->len; i++) {
 			/* Instances count the settings as version 1. */
-			if (version_at(d->entries->pdata[i]) >= version + 1)
-				have++;
+			if (applied_version(d->entries->pdata[i]) >=
+			    version + 1)
+				applied++;
 		}
-		if (have < d->entries->len)
+		if (applied < d->entries->len)
 			usleep(WAIT_PAUSE_US);
 	}
-	printf("in force on %u of %u entries after %" PRId64 " ms\n", have,
+	printf("in force on %u of %u entries after %" PRId64 " ms\n", applied,
 	       d->entries->len, clock_ms() - t0);
-	return have == d->entries->len ? 0 : -ETIMEDOUT;
+	return applied == d->entries->len ? 0 : -ETIMEDOUT;
 }
 
 /*
@@ -205,8 +206,8 @@
  * patch made the newest version, and it never will be if another version was
  * written at its place. Returns 0, -ESTALE or -EIO.
  */
-static int resolve(struct ctl *c, const char *patch_id, uint64_t version,
-		   struct store_position end)
+static int resolve_write(struct ctl *c, const char *patch_id, uint64_t version,
+			 struct store_position end)
 {
 	for (int i = 0; i < RESOLVE_TRIES; i++) {
 		usleep(RESOLVE_PAUSE_US);
@@ -250,7 +251,7 @@
 			return rc;
 		rc = write_live(c);
 		if (rc && rc != -ESTALE)
-			rc = resolve(c, id, base + 1, end);
+			rc = resolve_write(c, id, base + 1, end);
 		else if (rc == -ESTALE && !read_live(c) &&
 			 !strcmp(c->live.patch_id, id))
 			rc = 0; /* the first of two writes came through */
@@ -277,7 +278,7 @@
 		return EXIT_UNKNOWN;
 	}
 	printf("accepted: version %" PRIu64 "\n", base + 1);
-	if (a->wait && wait_everywhere(c->deploy, base + 1))
+	if (a->wait && wait_all_entries(c->deploy, base + 1))
 		return EXIT_UNKNOWN;
 	return 0;
 }
@@ -298,11 +299,11 @@
 		print_values(&c->live);
 		return 0;
 	}
-	c->print = true;
+	c->print_log = true;
 	c->last = a->last;
 	store_read(&c->store, CONF_TOPIC,
 		   (struct store_position){c->end.era, 0}, 0);
-	if (wait_call(c) == -ERANGE)
+	if (await_call(c) == -ERANGE)
 		printf("older versions are no longer kept; live is v%" PRIu64
 		       "\n",
 		       c->live.version);
--- a/tools/explain.c
+++ b/tools/explain.c
@@ -22,16 +22,16 @@
 struct log_line {
 	double ts;
 	int ev;
-	char *text;  /* from "ts=" on */
-	char *where; /* what stands before it: a file or process name */
+	char *text;   /* from "ts=" on */
+	char *source; /* what stands before it: a file or process name */
 };
 
-struct meaning {
+struct event_text {
 	int ev;
 	const char *text;
 };
 
-static const struct meaning meanings[] = {
+static const struct event_text event_texts[] = {
 	{EV_REQUEST_SENT, "sent to a backend server"},
 	{EV_REQUEST_DONE, "answered by a backend server"},
 	{EV_REQUEST_REFUSED, "refused: it did not run and never will"},
@@ -56,11 +56,11 @@
 	{EV_STARTED, "the instance started"},
 };
 
-static const char *meaning_of(int ev)
+static const char *describe_event(int ev)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(meanings); i++) {
-		if (meanings[i].ev == ev)
-			return meanings[i].text;
+	for (size_t i = 0; i < G_N_ELEMENTS(event_texts); i++) {
+		if (event_texts[i].ev == ev)
+			return event_texts[i].text;
 	}
 	return NULL;
 }
@@ -80,7 +80,7 @@
 		l.ts = g_ascii_strtod(ts + strlen("ts="), NULL);
 		l.ev = atoi(ev + strlen(" ev="));
 		l.text = g_strchomp(g_strdup(ts));
-		l.where = g_strchomp(g_strndup(buf, (gsize)(ts - buf)));
+		l.source = g_strchomp(g_strndup(buf, (gsize)(ts - buf)));
 		g_array_append_val(lines, l);
 	}
 	return lines;
@@ -94,7 +94,7 @@
 }
 
 /* Tells whether a line names the id, as a whole value. */
-static bool names(const struct log_line *l, const char *id)
+static bool has_id(const struct log_line *l, const char *id)
 {
 	char *key = g_strdup_printf(" id=%s ", id);
 	bool found = strstr(l->text, key) != NULL;
@@ -104,10 +104,10 @@
 }
 
 /* What a process believes, not what it did with some request. */
-static bool is_belief(int ev)
+static bool is_state_event(int ev)
 {
 	return ev < EV_CALL_FOREIGN_ANSWER && ev != EV_MEMBER_JOINED &&
-	       meaning_of(ev);
+	       describe_event(ev);
 }
 
 /* The part of a line after its level, which is the same on all. */
@@ -121,10 +121,10 @@
 
 static void print_line(const struct log_line *l, double t0)
 {
-	const char *text = meaning_of(l->ev);
+	const char *text = describe_event(l->ev);
 
 	printf("%+9.3f s  %s%s%s\n             ev=%d %s\n", l->ts - t0,
-	       l->where, *l->where ? " " : "", text ? text : "-", l->ev,
+	       l->source, *l->source ? " " : "", text ? text : "-", l->ev,
 	       fields_of(l));
 }
 
@@ -136,17 +136,17 @@
 {
 	GArray *lines = read_lines(stdin);
 	double first = 0, last = 0;
-	GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *sources = g_hash_table_new(g_str_hash, g_str_equal);
 
 	g_array_sort(lines, compare_ts);
 	for (guint i = 0; i < lines->len; i++) {
 		struct log_line *l = &g_array_index(lines, struct log_line, i);
 
-		if (!names(l, id))
+		if (!has_id(l, id))
 			continue;
 		first = first ? first : l->ts;
 		last = l->ts;
-		g_hash_table_add(seen, l->where);
+		g_hash_table_add(sources, l->source);
 	}
 	if (!last) {
 		fprintf(stderr, "explain: no line names id=%s\n", id);
@@ -154,11 +154,11 @@
 	}
 	for (guint i = 0; i < lines->len; i++) {
 		struct log_line *l = &g_array_index(lines, struct log_line, i);
-		bool near = l->ts >= first - CONTEXT_S && l->ts <= last &&
-			    is_belief(l->ev) &&
-			    g_hash_table_contains(seen, l->where);
+		bool context = l->ts >= first - CONTEXT_S && l->ts <= last &&
+			       is_state_event(l->ev) &&
+			       g_hash_table_contains(sources, l->source);
 
-		if (near || names(l, id))
+		if (context || has_id(l, id))
 			print_line(l, first);
 	}
 	return 0;
--- a/tools/load.c
+++ b/tools/load.c
@@ -51,7 +51,7 @@
 	else if (lstr_eq(outcome, LSTR("not-run")) && m->status >= 500) {
 		s->not_run++;
 		if (c->key[0])
-			g_hash_table_add(s->told_not_run, g_strdup(c->key));
+			g_hash_table_add(s->reported_not_run, g_strdup(c->key));
 	} else if (lstr_eq(outcome, LSTR("unknown"))) {
 		s->unknown++;
 	} else {
@@ -60,11 +60,11 @@
 	g_free(body);
 }
 
-static void end_call(struct call *c)
+static void finish_call(struct call *c)
 {
 	c->service->calls++;
 	c->busy = false;
-	c->load->open--;
+	c->load->in_flight--;
 }
 
 static void on_response(void *priv, struct http_message *m)
@@ -74,7 +74,7 @@
 	count_answer(c, m);
 	http_message_free(m);
 	http_client_close(&c->http);
-	end_call(c);
+	finish_call(c);
 }
 
 static void on_failed(void *priv, int err, bool sent)
@@ -86,7 +86,7 @@
 		c->service->cut++;
 	else
 		c->service->refused++;
-	end_call(c);
+	finish_call(c);
 }
 
 static const struct http_client_ops ops = {
@@ -121,7 +121,7 @@
 }
 
 /* Where the call goes: an entry instance, or straight to a server. */
-static int target_of(struct load *l, const struct service_opts *o,
+static int call_addr(struct load *l, const struct service_opts *o,
 		     struct sockaddr_in *sa)
 {
 	char addr[32];
@@ -150,12 +150,12 @@
 			 l->args->seed, l->run_id, l->seq);
 	c->start_us = clock_us();
 	c->busy = true;
-	l->open++;
-	if (target_of(l, c->service->opts, &sa) ||
+	l->in_flight++;
+	if (call_addr(l, c->service->opts, &sa) ||
 	    http_client_open(&c->http, l->loop, &sa, limit_s, limits, &ops,
 			     c)) {
 		c->service->refused++;
-		end_call(c);
+		finish_call(c);
 		return;
 	}
 	write_request(c, &b);
@@ -172,7 +172,7 @@
 	double gap_us = 1e6 / l->args->rate;
 
 	if (now >= l->end_us) {
-		if (l->open == 0)
+		if (l->in_flight == 0)
 			ev_break(loop, EVBREAK_ALL);
 		return;
 	}
@@ -186,8 +186,8 @@
 	}
 }
 
-/* load_drive() makes calls at the rate and for the time asked for. */
-void load_drive(struct load *l)
+/* load_run() makes calls at the rate and for the time asked for. */
+void load_run(struct load *l)
 {
 	ev_timer tick;
 
--- a/tools/load.h
+++ b/tools/load.h
@@ -15,7 +15,7 @@
 	struct hist hist;
 	uint64_t calls, done, not_run, unknown, refused, foreign;
 	uint64_t cut; /* sent, then the connection ended without an answer */
-	GHashTable *told_not_run; /* keys, for the check */
+	GHashTable *reported_not_run; /* keys, for the check */
 	int weight;
 };
 
@@ -35,9 +35,9 @@
 	uint64_t seq, started;
 	uint64_t run_id; /* keeps ids of two runs with one seed apart */
 	int64_t start_us, end_us;
-	int open;
+	int in_flight;
 };
 
-void load_drive(struct load *l);
+void load_run(struct load *l);
 
 #endif
--- a/tools/load_main.c
+++ b/tools/load_main.c
@@ -10,12 +10,12 @@
 enum { FETCH_TIMEOUT_MS = 1000 };
 
 /* What the servers' own records say. */
-struct ran_check {
-	uint64_t twice, lied, probes, late;
+struct run_check {
+	uint64_t duplicates, false_not_run, probes, late;
 };
 
 /* Takes the addresses out of an entry list ("addr":"a.b.c.d:port"). */
-static void take_addresses(const char *json, GPtrArray *found)
+static void parse_addresses(const char *json, GPtrArray *found)
 {
 	static const char name[] = "\"addr\":\"";
 	const char *p = json, *end;
@@ -30,7 +30,7 @@
 }
 
 /* Asks an entry instance which ones to use, as a caller does. */
-static void ask_entries(struct load *l)
+static void fetch_entries(struct load *l)
 {
 	GPtrArray *found = g_ptr_array_new();
 
@@ -41,7 +41,7 @@
 		if (fetch(en->listen, "GET", "/v1/entries", FETCH_TIMEOUT_MS,
 			  &body) == 200) {
 			buf_add(&body, "", 1);
-			take_addresses(body.ptr, found);
+			parse_addresses(body.ptr, found);
 		}
 		buf_free(&body);
 	}
@@ -53,8 +53,8 @@
 }
 
 /* Takes one line of a server's statistics. */
-static void check_line(const struct service_load *s, const char *line,
-		       struct ran_check *rc)
+static void check_stats_line(const struct service_load *s, const char *line,
+			     struct run_check *rc)
 {
 	uint64_t n;
 	char key[64];
@@ -67,15 +67,15 @@
 		rc->late += n;
 	else if (sscanf(line, "ran %63s %d", key, &runs) == 2) {
 		if (runs > 1 && key[0] == 'K')
-			rc->twice++;
-		if (g_hash_table_contains(s->told_not_run, key))
-			rc->lied++;
+			rc->duplicates++;
+		if (g_hash_table_contains(s->reported_not_run, key))
+			rc->false_not_run++;
 	}
 	/* NOLINTEND(cert-err34-c) */
 }
 
 static void check_server(const struct service_load *s, int index,
-			 struct ran_check *rc)
+			 struct run_check *rc)
 {
 	struct buf body = {0};
 	gchar **lines;
@@ -87,7 +87,7 @@
 		buf_add(&body, "", 1);
 		lines = g_strsplit(body.ptr, "\n", -1);
 		for (gchar **p = lines; *p; p++)
-			check_line(s, *p, rc);
+			check_stats_line(s, *p, rc);
 		g_strfreev(lines);
 	}
 	buf_free(&body);
@@ -103,7 +103,7 @@
 	       hist_quantile(&s->hist, 0.999) / 1000.0);
 }
 
-static void report(const struct load *l, const struct ran_check *rc)
+static void report(const struct load *l, const struct run_check *rc)
 {
 	uint64_t all = 0, foreign = 0, cut = 0;
 
@@ -125,7 +125,7 @@
 	       ", protected runs twice %" PRIu64
 	       ", told not-run but ran %" PRIu64
 	       ", new work after leaving %" PRIu64 "\n",
-	       foreign, rc->twice, rc->lied, rc->late);
+	       foreign, rc->duplicates, rc->false_not_run, rc->late);
 }
 
 static void add_services(struct load *l)
@@ -145,8 +145,8 @@
 		l->nservices++;
 		s->opts = o;
 		s->weight = o->workers * o->slots;
-		s->told_not_run = g_hash_table_new_full(g_str_hash, g_str_equal,
-							g_free, NULL);
+		s->reported_not_run = g_hash_table_new_full(
+			g_str_hash, g_str_equal, g_free, NULL);
 		l->total_weight += s->weight;
 	}
 }
@@ -154,7 +154,7 @@
 static void load_free(struct load *l)
 {
 	for (unsigned i = 0; i < l->nservices; i++)
-		g_hash_table_unref(l->services[i].told_not_run);
+		g_hash_table_unref(l->services[i].reported_not_run);
 	g_free(l->services);
 	g_strfreev(l->entries);
 	g_rand_free(l->rand);
@@ -168,13 +168,13 @@
 int load_main(const struct deploy *d, const struct load_args *a)
 {
 	struct load l = {.deploy = d, .args = a};
-	struct ran_check rc = {0};
+	struct run_check rc = {0};
 	uint64_t foreign = 0;
 
 	l.rand = g_rand_new_with_seed(a->seed);
 	l.run_id = (uint64_t)g_get_real_time() & 0xffffffff;
 	add_services(&l);
-	ask_entries(&l);
+	fetch_entries(&l);
 	if ((!l.nentries && !a->direct) || !l.nservices) {
 		fprintf(stderr, "load: no entry answered with a live list\n");
 		load_free(&l);
@@ -184,7 +184,7 @@
 	       "%s\n",
 	       a->seed, a->rate, a->seconds, a->concurrency,
 	       a->direct ? "straight to the servers" : "through the entries");
-	load_drive(&l);
+	load_run(&l);
 	for (unsigned i = 0; i < l.nservices; i++) {
 		for (int k = 0; k < l.services[i].opts->workers; k++)
 			check_server(&l.services[i], k, &rc);
@@ -192,5 +192,5 @@
 	}
 	report(&l, &rc);
 	load_free(&l);
-	return foreign || rc.twice || rc.lied ? -EPROTO : 0;
+	return foreign || rc.duplicates || rc.false_not_run ? -EPROTO : 0;
 }
