--- a/stand/audit.c
+++ b/stand/audit.c
@@ -13,8 +13,8 @@
 
 /* What one lifetime of an instance was asked for. */
 struct audit_instance {
-	GArray *backoffs;      /* struct window */
-	int64_t drain_told_ms; /* first announcement of the drain; 0: none */
+	GArray *backoffs;	    /* struct window */
+	int64_t drain_announced_ms; /* first announcement; 0: none */
 };
 
 /* Frees a struct audit_instance. */
@@ -72,13 +72,13 @@
 	if (p->suspended)
 		return;
 	i = get_instance(p, instance);
-	if (!i->drain_told_ms)
-		i->drain_told_ms = now_ms;
+	if (!i->drain_announced_ms)
+		i->drain_announced_ms = now_ms;
 }
 
 /* Counts a request in each current backoff; drops backoffs that ended. */
 static void count_in_windows(struct audit *p, struct audit_instance *i,
-			     bool question, int64_t now_ms)
+			     bool probe, int64_t now_ms)
 {
 	bool within = false;
 
@@ -93,15 +93,15 @@
 		if (now_ms <= r->from_ms)
 			continue;
 		within = true;
-		r->requests += !question;
+		r->requests += !probe;
 		p->backoff_worst = MAX(p->backoff_worst, r->requests);
 	}
-	p->backoff_got += within && !question;
-	p->backoff_questions += within && question;
+	p->backoff_got += within && !probe;
+	p->backoff_questions += within && probe;
 }
 
 /* audit_request() checks a request, or a probe of health and load. */
-void audit_request(struct audit *p, struct lstr instance, bool question,
+void audit_request(struct audit *p, struct lstr instance, bool probe,
 		   int64_t now_ms)
 {
 	struct audit_instance *i;
@@ -109,9 +109,9 @@
 	if (p->suspended)
 		return;
 	i = get_instance(p, instance);
-	count_in_windows(p, i, question, now_ms);
-	if (!question && i->drain_told_ms &&
-	    now_ms > i->drain_told_ms + IN_TRANSIT_MS)
+	count_in_windows(p, i, probe, now_ms);
+	if (!probe && i->drain_announced_ms &&
+	    now_ms > i->drain_announced_ms + IN_TRANSIT_MS)
 		p->draining_got++;
 }
 
--- a/stand/audit.h
+++ b/stand/audit.h
@@ -31,7 +31,7 @@
 void audit_backoff(struct audit *p, struct lstr instance, int64_t backoff_ms,
 		   int64_t now_ms);
 void audit_draining(struct audit *p, struct lstr instance, int64_t now_ms);
-void audit_request(struct audit *p, struct lstr instance, bool question,
+void audit_request(struct audit *p, struct lstr instance, bool probe,
 		   int64_t now_ms);
 void audit_suspend(struct audit *p);
 void audit_resume(struct audit *p);
--- a/stand/backend.c
+++ b/stand/backend.c
@@ -53,7 +53,7 @@
 /* Whether responses announce that the server drains. */
 static bool is_draining(const struct server *s)
 {
-	return s->leaving_ms || s->faults.draining;
+	return s->drain_start_ms || s->faults.draining;
 }
 
 /* Returns the lifetime of the sending instance, from the Via header. */
@@ -90,10 +90,11 @@
 static void reply(struct server *s, struct http_conn *c, unsigned status,
 		  const struct buf *headers, struct lstr body)
 {
-	http_conn_reply(c, &(struct http_reply){.status = status,
-						.headers = buf_lstr(headers),
-						.body = body,
-						.close = s->leaving_ms != 0});
+	http_conn_reply(c,
+			&(struct http_reply){.status = status,
+					     .headers = buf_lstr(headers),
+					     .body = body,
+					     .close = s->drain_start_ms != 0});
 }
 
 /* Rejects a request, with the header that guarantees that it did not run. */
@@ -121,7 +122,7 @@
 }
 
 /* Writes headers and body of the response to a request that ran. */
-static void write_answer(struct job *j, struct buf *headers, struct buf *body)
+static void write_response(struct job *j, struct buf *headers, struct buf *body)
 {
 	struct server *s = j->server;
 	struct lstr id = http_find(j->message, LSTR("Attempt-Id"));
@@ -138,13 +139,13 @@
 }
 
 /* Sends the response, unless a fault loses, truncates or duplicates it. */
-static void job_answer(struct job *j)
+static void job_respond(struct job *j)
 {
 	struct server *s = j->server;
 	struct http_conn *c = j->conn;
 	struct buf headers = {0}, body = {0}, raw = {0};
 
-	write_answer(j, &headers, &body);
+	write_response(j, &headers, &body);
 	http_conn_set_user(c, NULL);
 	buf_printf(&raw, "HTTP/1.1 200 OK\r\n%.*sContent-Length: %zu\r\n\r\n",
 		   (int)headers.len, headers.ptr, body.len);
@@ -176,7 +177,7 @@
 	struct job *next = work_finish(&j->server->work);
 
 	if (j->conn)
-		job_answer(j);
+		job_respond(j);
 	job_free(j);
 	if (next)
 		job_run(next);
@@ -309,7 +310,8 @@
 		http_message_free(m);
 		return;
 	}
-	if (s->leaving_ms && clock_ms() - s->leaving_ms > LEAVE_GRACE_MS)
+	if (s->drain_start_ms &&
+	    clock_ms() - s->drain_start_ms > LEAVE_GRACE_MS)
 		s->work.late++;
 	limit_check_request(&s->limit_check, clock_ms());
 	audit_request(&s->audit, sender_lifetime(m), false, clock_ms());
@@ -429,9 +431,9 @@
 {
 	struct server *s = w->data;
 
-	if (s->leaving_ms)
+	if (s->drain_start_ms)
 		return;
-	s->leaving_ms = clock_ms();
+	s->drain_start_ms = clock_ms();
 	mp_event(EV_STOPPING, G_LOG_LEVEL_MESSAGE,
 		 "backend %s draining for %d ms", s->id, DRAIN_MS);
 	server_register(s);
--- a/stand/backup.h
+++ b/stand/backup.h
@@ -25,11 +25,11 @@
 	char era_header[8]; /* form of the Store-Era header */
 };
 
-void backup_init(struct backup *d);
-void backup_save(struct backup *d, GHashTable *topics);
-GHashTable *backup_restore(struct backup *d);
-void backup_set(struct backup *d, const struct query *q);
-void backup_write_era(const struct backup *d, uint64_t era,
+void backup_init(struct backup *b);
+void backup_save(struct backup *b, GHashTable *topics);
+GHashTable *backup_restore(struct backup *b);
+void backup_set(struct backup *b, const struct query *q);
+void backup_write_era(const struct backup *b, uint64_t era,
 		      struct buf *headers);
 
 #endif
--- a/stand/proxy.c
+++ b/stand/proxy.c
@@ -257,13 +257,13 @@
 /* Opens a port for each backend server of a service. */
 static int open_service_ports(struct proxy *p, const struct service_opts *s)
 {
-	char advertised[64], real[64];
+	char advertised[64], actual[64];
 	int rc = 0;
 
 	for (int i = 0; i < s->workers && !rc; i++) {
-		deploy_worker_addr(s, i, real, sizeof(real));
+		deploy_worker_addr(s, i, actual, sizeof(actual));
 		deploy_worker_told(s, i, advertised, sizeof(advertised));
-		rc = open_port(p, advertised, real);
+		rc = open_port(p, advertised, actual);
 	}
 	return rc;
 }
--- a/stand/query.c
+++ b/stand/query.c
@@ -8,21 +8,21 @@
 	char *text = g_strndup(target.ptr, target.len);
 	char *separator = strchr(text, '?');
 
-	q->items = NULL;
+	q->params = NULL;
 	if (separator) {
 		*separator = '\0';
-		q->items = g_uri_parse_params(separator + 1, -1, "&",
-					      G_URI_PARAMS_NONE, NULL);
+		q->params = g_uri_parse_params(separator + 1, -1, "&",
+					       G_URI_PARAMS_NONE, NULL);
 	}
-	if (!q->items)
-		q->items = g_hash_table_new(g_str_hash, g_str_equal);
+	if (!q->params)
+		q->params = g_hash_table_new(g_str_hash, g_str_equal);
 	return text;
 }
 
 /* query_text() returns the value of a parameter, or NULL. */
 const char *query_text(const struct query *q, const char *name)
 {
-	return g_hash_table_lookup(q->items, name);
+	return g_hash_table_lookup(q->params, name);
 }
 
 /* query_int() returns the value of a parameter as an integer, or `fallback`. */
@@ -36,6 +36,6 @@
 /* query_free() frees the parameters. */
 void query_free(struct query *q)
 {
-	g_hash_table_unref(q->items);
-	q->items = NULL;
+	g_hash_table_unref(q->params);
+	q->params = NULL;
 }
--- a/stand/query.h
+++ b/stand/query.h
@@ -10,7 +10,7 @@
 
 /* The parameters of a query string. */
 struct query {
-	GHashTable *items;
+	GHashTable *params;
 };
 
 char *query_split(struct lstr target, struct query *q);
--- a/stand/server.h
+++ b/stand/server.h
@@ -25,7 +25,7 @@
 	char advertised_addr
 		[64]; /* address in its entry; the proxy's if it has one */
 	unsigned registrations;
-	int64_t leaving_ms; /* when it began to drain; 0: not draining */
+	int64_t drain_start_ms; /* when it began to drain; 0: not draining */
 };
 
 /* A request that is running, waiting or about to be rejected. */
--- a/stand/server_list.c
+++ b/stand/server_list.c
@@ -25,7 +25,7 @@
 	codec_pack_cstr(&pk, "status");
 	msgpack_pack_map(&pk, 3);
 	codec_pack_cstr(&pk, "state");
-	codec_pack_cstr(&pk, s->leaving_ms ? "draining" : "ready");
+	codec_pack_cstr(&pk, s->drain_start_ms ? "draining" : "ready");
 	codec_pack_cstr(&pk, "sequenceNumber");
 	msgpack_pack_uint32(&pk, s->registrations++);
 	codec_pack_cstr(&pk, "warmupLeftMs");
--- a/stand/store.c
+++ b/stand/store.c
@@ -118,28 +118,29 @@
 }
 
 /* Frees a held response without sending it. */
-static void held_reply_free(struct held_reply *k)
+static void held_reply_free(struct held_reply *held)
 {
-	k->store->held_replies = g_list_remove(k->store->held_replies, k);
-	ev_timer_stop(k->store->loop, &k->timer);
-	buf_free(&k->body);
-	g_free(k->name);
-	g_free(k);
+	held->store->held_replies =
+		g_list_remove(held->store->held_replies, held);
+	ev_timer_stop(held->store->loop, &held->timer);
+	buf_free(&held->body);
+	g_free(held->name);
+	g_free(held);
 }
 
 /* Sends a held response; a read returns the records that exist now. */
-static void send_held_reply(struct held_reply *k)
+static void send_held_reply(struct held_reply *held)
 {
-	struct http_conn *c = k->conn;
-	struct buf body = k->body;
-	unsigned status = k->status;
-	struct store *s = k->store;
-	uint64_t era = k->is_read ? s->backup.era : k->era;
-
-	k->body = (struct buf){0};
-	if (k->is_read && log_read(k->part, k->from, k->max, &body))
+	struct http_conn *c = held->conn;
+	struct buf body = held->body;
+	unsigned status = held->status;
+	struct store *s = held->store;
+	uint64_t era = held->is_read ? s->backup.era : held->era;
+
+	held->body = (struct buf){0};
+	if (held->is_read && log_read(held->part, held->from, held->max, &body))
 		status = 410;
-	held_reply_free(k);
+	held_reply_free(held);
 	http_conn_set_user(c, NULL);
 	reply_in_era(s, c, era, status, buf_lstr(&body));
 	buf_free(&body);
@@ -155,34 +156,34 @@
 static struct held_reply *hold_reply(struct store *s, struct http_conn *c,
 				     int ms)
 {
-	struct held_reply *k = g_new0(struct held_reply, 1);
-
-	k->store = s;
-	k->conn = c;
-	k->status = 200;
-	k->era = s->backup.era;
-	ev_timer_init(&k->timer, on_held_timer, ms / 1000.0, 0);
-	k->timer.data = k;
-	ev_timer_start(s->loop, &k->timer);
-	s->held_replies = g_list_prepend(s->held_replies, k);
-	http_conn_set_user(c, k);
-	return k;
+	struct held_reply *held = g_new0(struct held_reply, 1);
+
+	held->store = s;
+	held->conn = c;
+	held->status = 200;
+	held->era = s->backup.era;
+	ev_timer_init(&held->timer, on_held_timer, ms / 1000.0, 0);
+	held->timer.data = held;
+	ev_timer_start(s->loop, &held->timer);
+	s->held_replies = g_list_prepend(s->held_replies, held);
+	http_conn_set_user(c, held);
+	return held;
 }
 
 /* Sends a response, delayed if the store is slow; takes over the body. */
 static void reply_delayed(struct store *s, struct http_conn *c, unsigned status,
 			  struct buf *body)
 {
-	struct held_reply *k;
+	struct held_reply *held;
 
 	if (s->slow_ms == 0) {
 		reply(s, c, status, buf_lstr(body));
 		buf_free(body);
 		return;
 	}
-	k = hold_reply(s, c, s->slow_ms);
-	k->status = status;
-	k->body = *body;
+	held = hold_reply(s, c, s->slow_ms);
+	held->status = status;
+	held->body = *body;
 	*body = (struct buf){0};
 }
 
@@ -192,11 +193,11 @@
 	GList *next;
 
 	for (GList *l = s->held_replies; l; l = next) {
-		struct held_reply *k = l->data;
+		struct held_reply *held = l->data;
 
 		next = l->next;
-		if (k->is_read && k->part == p)
-			send_held_reply(k);
+		if (held->is_read && held->part == p)
+			send_held_reply(held);
 	}
 }
 
@@ -300,15 +301,15 @@
 	int64_t wait = query_int(q, "waitMs", 0);
 	size_t max = (size_t)query_int(q, "maxKb", READ_DEFAULT_KB) << 10;
 	struct buf body = {0};
-	struct held_reply *k;
+	struct held_reply *held;
 
 	if (from == log_end(p) && wait > 0) {
-		k = hold_reply(s, c, (int)MIN(wait, WAIT_MAX_MS));
-		k->is_read = true;
-		k->part = p;
-		k->name = part_name(q);
-		k->from = from;
-		k->max = max;
+		held = hold_reply(s, c, (int)MIN(wait, WAIT_MAX_MS));
+		held->is_read = true;
+		held->part = p;
+		held->name = part_name(q);
+		held->from = from;
+		held->max = max;
 		return;
 	}
 	enum log_outcome rc = log_read(p, from, max, &body);
@@ -344,37 +345,37 @@
 }
 
 /* Handles a read that waits during a restore, as `how` says. */
-static void interrupt_read(struct store *s, struct held_reply *k,
+static void interrupt_read(struct store *s, struct held_reply *held,
 			   const char *how)
 {
-	struct http_conn *c = k->conn;
+	struct http_conn *c = held->conn;
 
 	if (!strcmp(how, "reset")) {
-		held_reply_free(k);
+		held_reply_free(held);
 		http_conn_abort(c);
 	} else if (!strcmp(how, "answer")) {
-		k->part = get_part(s, k->name);
-		send_held_reply(k);
+		held->part = get_part(s, held->name);
+		send_held_reply(held);
 	} else {
 		http_conn_set_user(c, NULL);
-		held_reply_free(k);
+		held_reply_free(held);
 	}
 }
 
 /* Restores the backup and interrupts the reads that wait. */
 static void restore_backup(struct store *s, const char *how)
 {
-	GList *held = g_list_copy(s->held_replies);
+	GList *reads = g_list_copy(s->held_replies);
 
 	s->topics = backup_restore(&s->backup);
 	lease_restart(&s->leases, get_part(s, STORE_TOPIC_BACKENDS "/0"),
 		      clock_ms());
-	for (GList *l = held; l; l = l->next) {
+	for (GList *l = reads; l; l = l->next) {
 		if (g_list_find(s->held_replies, l->data) &&
 		    ((struct held_reply *)l->data)->is_read)
 			interrupt_read(s, l->data, how);
 	}
-	g_list_free(held);
+	g_list_free(reads);
 }
 
 static void handle_faults(struct store *s, struct http_conn *c,
@@ -452,10 +453,10 @@
 /* The client closed its connection: drops its response. */
 static void on_gone(void *priv, struct http_conn *c)
 {
-	struct held_reply *k = http_conn_user(c);
+	struct held_reply *held = http_conn_user(c);
 
-	if (k)
-		held_reply_free(k);
+	if (held)
+		held_reply_free(held);
 }
 
 static const struct http_server_ops ops = {on_request, on_gone};
--- a/tools/load.c
+++ b/tools/load.c
@@ -142,7 +142,7 @@
 static void start_call(struct load *l, struct call *c)
 {
 	struct http_limits limits = {.head_max = 65536, .body_max = 1 << 20};
-	double limit_s = (DEADLINE_MS + DEADLINE_SLACK_MS) / 1000.0;
+	double timeout_s = (DEADLINE_MS + DEADLINE_SLACK_MS) / 1000.0;
 	struct buf b = {0};
 	struct sockaddr_in sa;
 
@@ -158,14 +158,14 @@
 	c->busy = true;
 	l->in_flight++;
 	if (call_addr(l, c->service->opts, &sa) ||
-	    http_client_open(&c->http, l->loop, &sa, limit_s, limits, &ops,
+	    http_client_open(&c->http, l->loop, &sa, timeout_s, limits, &ops,
 			     c)) {
 		c->service->refused++;
 		finish_call(c);
 		return;
 	}
 	write_request(c, &b);
-	http_client_send(&c->http, buf_lstr(&b), limit_s, false);
+	http_client_send(&c->http, buf_lstr(&b), timeout_s, false);
 	buf_free(&b);
 	l->seq++;
 }
