--- a/stand/audit.c
+++ b/stand/audit.c
@@ -13,7 +13,7 @@
 
 /* What one lifetime of an instance was asked for. */
 struct audit_instance {
-	GArray *backoffs;	    /* struct window */
+	GArray *backoffs;	    /* struct backoff_window */
 	int64_t drain_announced_ms; /* first announcement; 0: none */
 };
 
--- a/stand/audit.h
+++ b/stand/audit.h
@@ -21,10 +21,9 @@
 	uint64_t backoffs;	    /* responses that asked for one */
 	uint64_t backoff_got;	    /* requests during a backoff */
 	uint64_t backoff_questions; /* probes during a backoff */
-	unsigned
-		backoff_worst; /* most requests of an instance in one backoff */
-	uint64_t draining_told; /* responses that announced it */
-	uint64_t draining_got;	/* requests in spite of the announcement */
+	unsigned backoff_worst;	    /* most requests in one backoff */
+	uint64_t draining_told;	    /* responses that announced it */
+	uint64_t draining_got;	    /* requests in spite of the announcement */
 };
 
 void audit_init(struct audit *p);
--- a/stand/lease.c
+++ b/stand/lease.c
@@ -75,7 +75,7 @@
 	       !memcmp(value, body.ptr + 5 + klen, len);
 }
 
-/* lease_expire() removes entries without a lease; true if there were any. */
+/* lease_expire() removes entries whose lease ended; true if any. */
 bool lease_expire(struct lease *l, struct log_part *p, int64_t now_ms)
 {
 	struct log_condition cond = {.expected_end = -1};
--- a/stand/log.h
+++ b/stand/log.h
@@ -12,9 +12,7 @@
 
 #include "misc/buf.h"
 
-enum {
-	LOG_DEDUP_MAX = 5
-}; /* last appends of a producer that are deduplicated */
+enum { LOG_DEDUP_MAX = 5 }; /* deduplicated appends per producer */
 
 /* A producer and the outcomes of its last appends, a ring of nseqs % size. */
 struct log_producer {
--- a/stand/server.h
+++ b/stand/server.h
@@ -22,8 +22,7 @@
 	struct http_client store;
 	struct sockaddr_in store_addr;
 	ev_timer register_timer, drain_timer;
-	char advertised_addr
-		[64]; /* address in its entry; the proxy's if it has one */
+	char advertised_addr[64]; /* its own or the proxy's */
 	unsigned registrations;
 	int64_t drain_start_ms; /* when it began to drain; 0: not draining */
 };
--- a/stand/store.c
+++ b/stand/store.c
@@ -39,7 +39,7 @@
 	struct ev_loop *loop;
 	struct http_server http;
 	GHashTable *topics;  /* "topic/part" -> struct log_part * */
-	GList *held_replies; /* struct parked * */
+	GList *held_replies; /* struct held_reply * */
 	struct backup backup;
 	char down[16];
 	int slow_ms, lost_pct;
--- a/tools/tools.h
+++ b/tools/tools.h
@@ -26,7 +26,7 @@
 struct load_args {
 	int seconds;
 	int rate;	 /* calls per second, over all services */
-	int concurrency; /* limit of calls in flight */
+	int concurrency; /* most calls in flight */
 	unsigned seed;
 	const char *only_tenant;  /* NULL: all */
 	const char *only_service; /* NULL: all */
