--- a/stand/limit_check.h
+++ b/stand/limit_check.h
@@ -24,9 +24,9 @@
 	double allowed; /* requests allowed in that window */
 };
 
-void limit_check_init(struct limit_check *c);
-void limit_check_set(struct limit_check *c, bool active, double per_s,
+void limit_check_init(struct limit_check *n);
+void limit_check_set(struct limit_check *n, bool active, double per_s,
 		     int64_t now_ms);
-void limit_check_request(struct limit_check *c, int64_t now_ms);
+void limit_check_request(struct limit_check *n, int64_t now_ms);
 
 #endif
