--- a/tests/checks.sh
+++ b/tests/checks.sh
@@ -1,16 +1,18 @@
-# Sourced by the tests that run processes; needs $logs, a folder of the test.
-#   check WHAT COMMAND...   runs it, with its output in $logs/checks.log, prints
-#                           "ok" or "FAIL" and counts the latter in $fails
+# Sourced by the tests that run processes; $logs must name the test's log
+# directory.
+#   check LABEL COMMAND...   runs COMMAND with its output appended to
+#                            $logs/checks.log, prints "ok" or "FAIL" with LABEL
+#                            and counts failures in $fails
 fails=0
 check() {
-	local what=$1 rc
+	local label=$1 rc
 	shift
 	"$@" >>"$logs/checks.log" 2>&1
 	rc=$?
 	if [ $rc -eq 0 ]; then
-		echo "ok   $what"
+		echo "ok   $label"
 		return
 	fi
-	echo "FAIL $what (exit $rc)"
+	echo "FAIL $label (exit $rc)"
 	fails=$((fails + 1))
 }
