--- a/tests/soak.sh
+++ b/tests/soak.sh
@@ -1,24 +1,32 @@
 #!/bin/bash
-# The fault soak: one system as separate processes on loopback, under load,
-# while faults come from outside, in series and overlapping: processes are
-# stopped, paused, killed and started again by signals; connections to the
-# store and to the servers are delayed, reset, refused or silenced by proxies;
-# the store and the servers misbehave; configurations and settings change.
-# Then the faults end, and it must be whole again. Checked, from what callers
-# and servers saw: nothing protected ran twice, no false "not run", no foreign
-# answer, versions never go back, nothing ends by itself, and afterwards a
-# version is in force everywhere and calls are served.
-#   tests/soak.sh SEED [SECONDS [SLOT [fatal|limits|backoff|drills]]]   (a slot is a range of ports,
-#   24000 to 30000 in all; no other test uses these, so soaks may run beside
-#   them, and beside each other if the last digits of their slots differ)
-# An even seed plays a system with hubs. With `limits` servers also name limits for a
-# while, and judge whether they are kept. With `backoff` they turn requests away and ask
-# to back off, announce that they drain, let their entries lapse, and judge what they get all the
-# same; what an instance couldn't hear as it was paused or cut off isn't judged. With `drills`
-# the store comes back from copies, and the operator patches on from what it finds there;
-# afterwards it does so once more in calm, and nothing that was confirmed may be lost. With `fatal` a request that ends each
-# server that runs it comes to all instances all the while, and when the faults
-# are over few servers may end under it. Stops what it started, by pid.
+# Fault soak: runs a system of separate processes on loopback under load while
+# random faults are injected, one after another and overlapping. Signals stop,
+# pause, kill and restart processes; proxies delay, reset, refuse or silence
+# connections to the store and to the servers; the store and the servers
+# misbehave; configurations and settings change. Then the faults end, and the
+# system must recover. The checks use what callers and servers saw: no protected
+# request ran twice, no false "not run", no mismatched response, versions never
+# decrease, no process exits on its own, and afterwards a version is in force
+# everywhere and calls are served.
+#
+#   tests/soak.sh SEED [SECONDS [SLOT [fatal|limits|backoff|drills]]]
+#
+# A slot is a range of ports between 24000 and 30000. No other test uses these,
+# so a soak may run in parallel with other tests, and with other soaks if the
+# last digits of their slots differ. An even seed runs a system with hubs. The
+# modes:
+#   limits   servers also announce rate limits for a while and check them
+#   backoff  servers reject requests and ask for backoffs, announce that they
+#            drain, let their records expire, and check what they still get;
+#            they don't count what an instance couldn't learn while it was
+#            paused or cut off
+#   drills   the store is restored from backups, and the operator continues from
+#            what they hold; a last restore without other faults must not lose a
+#            confirmed version
+#   fatal    a request that crashes each server that runs it is sent to all
+#            instances throughout; after the faults only few servers may crash
+#            under it
+# Every process started here is stopped here, by pid.
 set -u
 cd "$(dirname "$0")/.."
 bin=${MP_BIN:-target/mimosapitch}
@@ -26,7 +34,7 @@
 seconds=${2:-10}
 slot=${3:-0}
 fatal=$([ "${4:-}" = fatal ] && echo yes)
-kinds=$([ "${4:-}" = limits ] && echo 20 || echo 16) # of faults
+fault_kinds=$([ "${4:-}" = limits ] && echo 20 || echo 16)
 backoff=$([ "${4:-}" = backoff ] && echo yes)
 drills=$([ "${4:-}" = drills ] && echo yes)
 base=$((24000 + 100 * slot))
@@ -34,9 +42,11 @@
 ini=$logs/soak.ini
 RANDOM=$seed
 entries=$((seed % 2 ? 4 : 22))
-FATAL_EXIT=70  # of a server that ends under a request
-FATAL_ENDS=6   # allowed after the faults: three prove it, three more are sent
-declare -A pids # name -> pid of what should run now
+CRASH_EXIT=70 # exit code of a server that crashes under a request
+# Crashes allowed after the faults: three prove the request fatal, and three
+# more attempts are allowed.
+CRASHES_MAX=6
+declare -A pids # name -> pid of each process that should be running
 fails=0
 
 stop_all() {
@@ -45,6 +55,7 @@
 }
 trap stop_all EXIT
 
+# Prints the deployment file.
 write_ini() {
 	cat <<-INI
 		[platform]
@@ -79,7 +90,9 @@
 	done
 }
 
-start() { # name: what its name says
+# Starts a process by its name: its kind, a colon, and the instance, server or
+# service.
+start() { # name
 	local name=$1 kind=${1%%:*} rest=${1#*:}
 	case $kind in
 	store) exec $bin store --deployment "$ini" ;;
@@ -90,139 +103,156 @@
 	pids[$name]=$!
 }
 
-note() { echo "$(date +%s.%N | cut -c1-14) $*" >>"$logs/faults.log"; }
-rnd() { echo $((RANDOM % $1)); }
-nap() { sleep "$(printf '%d.%03d' $(($1 / 1000)) $(($1 % 1000)))"; }
-post() { # port, query
+# Logs an injected fault.
+log_fault() { echo "$(date +%s.%N | cut -c1-14) $*" >>"$logs/faults.log"; }
+random_below() { echo $((RANDOM % $1)); }
+sleep_ms() { sleep "$(printf '%d.%03d' $(($1 / 1000)) $(($1 % 1000)))"; }
+# Sets or clears simulated faults of a server, the store or a proxy.
+set_faults() { # port, query
 	curl -s -m 1 -X POST "http://127.0.0.1:$1/stand/faults?$2" >/dev/null
 }
-an_entry() { printf 'entry:e%02d' $((1 + RANDOM % entries)); }
-a_server() {
+random_entry() { printf 'entry:e%02d' $((1 + RANDOM % entries)); }
+random_server() {
 	if ((RANDOM % 2)); then echo "server:harta-$((RANDOM % 3))"; else echo "server:becas-pagos-$((RANDOM % 3))"; fi
 }
+# Prints the port of a server.
 server_port() { # server:NAME-INDEX
 	case $1 in
 	server:harta-*) echo $((base + 50 + ${1##*-})) ;;
 	*) echo $((base + 70 + ${1##*-})) ;;
 	esac
 }
-a_limit() { # requests in 1,000 s: from less than one a second to many
+# Prints a limit in requests per 1,000 s, from below one per second to many.
+random_limit() {
 	local all=(0 300 2000 5100 20000)
 	echo "${all[$((RANDOM % 5))]}"
 }
-a_proxy() { # its control port
+# Prints the control port of a random proxy.
+random_proxy() {
 	local all=($((base + 1)) $((base + 59)) $((base + 79)))
 	echo "${all[$((RANDOM % 3))]}"
 }
 
-# One fault for some time; runs beside others in the background of itself.
-end_and_start() { # signal, name, pause in ms
-	note "$1 $2"
+# Ends a process and starts it again after a pause.
+restart_process() { # signal, name, pause in ms
+	log_fault "$1 $2"
 	kill "-$1" "${pids[$2]}" 2>/dev/null
 	wait "${pids[$2]}" 2>/dev/null
-	nap "$3"
+	sleep_ms "$3"
 	start "$2"
 }
-# What the servers at these ports may not hold against instances.
-ports_of() { # a server's name, or a proxy's control port; none for the store's
+# Prints the ports of the servers that a fault cuts off; these don't check
+# backoffs meanwhile. None for the store's port.
+affected_ports() { # a server's name, or a proxy's control port
 	case $1 in
 	server:*) server_port "$1" ;;
 	$((base + 59))) echo $((base + 50)) $((base + 51)) $((base + 52)) ;;
 	$((base + 79))) echo $((base + 70)) $((base + 71)) $((base + 72)) ;;
 	esac
 }
-post_all() { # query, ports...
+# Sets or clears simulated faults at several ports.
+set_faults_at() { # query, ports...
 	local query=$1 port
 	shift
-	for port in "$@"; do post "$port" "$query"; done
+	for port in "$@"; do set_faults "$port" "$query"; done
 }
-all_servers() { echo $((base + 50)) $((base + 51)) $((base + 52)) $((base + 70)) $((base + 71)) $((base + 72)); }
-pause() { # name, ms
+all_server_ports() { echo $((base + 50)) $((base + 51)) $((base + 52)) $((base + 70)) $((base + 71)) $((base + 72)); }
+# Suspends a process for some time, in the background.
+pause_process() { # name, ms
 	local pid=${pids[$1]}
-	note "STOP $1 $2 ms"
-	[ -z "$backoff" ] || post_all audit_off=1 $(ports_of "$1")
+	log_fault "STOP $1 $2 ms"
+	[ -z "$backoff" ] || set_faults_at audit_off=1 $(affected_ports "$1")
 	kill -STOP "$pid" 2>/dev/null
 	(
-		nap "$2"
-		case $backoff$1 in yesentry:*) post_all "excuse=${1#entry:}-" $(all_servers) ;; esac
+		sleep_ms "$2"
+		case $backoff$1 in yesentry:*) set_faults_at "excuse=${1#entry:}-" $(all_server_ports) ;; esac
 		kill -CONT "$pid" 2>/dev/null
 		[ -n "$backoff" ] || exit
-		nap 300
-		post_all audit_on=1 $(ports_of "$1")
+		sleep_ms 300
+		set_faults_at audit_on=1 $(affected_ports "$1")
 	) &
 }
-harm() { # port, query that harms, query that mends, ms
-	note "$1 $2 for $4 ms"
-	[ -z "$backoff" ] || post_all audit_off=1 $(ports_of "$1")
-	post "$1" "$2"
+# Injects a fault for some time, in the background, without backoff checks at
+# the servers that it cuts off.
+inject_fault() { # port, query that sets it, query that clears it, ms
+	log_fault "$1 $2 for $4 ms"
+	[ -z "$backoff" ] || set_faults_at audit_off=1 $(affected_ports "$1")
+	set_faults "$1" "$2"
 	(
-		nap "$4"
-		post "$1" "$3"
+		sleep_ms "$4"
+		set_faults "$1" "$3"
 		[ -n "$backoff" ] || exit
-		nap 300
-		post_all audit_on=1 $(ports_of "$1")
+		sleep_ms 300
+		set_faults_at audit_on=1 $(affected_ports "$1")
 	) &
 }
-a_backoff() { # ms
+# Prints a backoff in ms.
+random_backoff() {
 	local all=(300 1000 3000 8000)
 	echo "${all[$((RANDOM % 4))]}"
 }
-# A server asks to back off, announces that it drains, is off the list for a while or answers late.
-fault_of_backoff() {
+# A server asks for a backoff, announces that it drains, is off the list for a
+# while or answers late.
+random_backoff_fault() {
 	local s port pid ms=$((1000 + RANDOM % 5000))
-	s=$(a_server)
+	s=$(random_server)
 	port=$(server_port "$s")
-	case $(rnd 5) in
-	0 | 1) disturb "$port" "shed_pct=$((10 + RANDOM % 91))&backoff_milli=$(a_backoff)&late_ms=$((RANDOM % 2 * RANDOM % 300))" 'shed_pct=0&backoff_milli=-1&late_ms=0' $ms ;;
+	case $(random_below 5) in
+	0 | 1) inject_audited_fault "$port" "shed_pct=$((10 + RANDOM % 91))&backoff_milli=$(random_backoff)&late_ms=$((RANDOM % 2 * RANDOM % 300))" 'shed_pct=0&backoff_milli=-1&late_ms=0' $ms ;;
 	2) pid=${pids[$s]}
-		note "$s leaves"
-		post "$port" draining=1
-		(nap $ms; kill -KILL "$pid" 2>/dev/null) &
-		ended+=("$s=$pid") ;;
-	3) disturb "$port" unlisted=1 unlisted=0 $((2000 + RANDOM % 3000)) ;;
-	4) disturb "$port" backoff_odd=1 backoff_odd=0 $ms ;;
+		log_fault "$s drains"
+		set_faults "$port" draining=1
+		(sleep_ms $ms; kill -KILL "$pid" 2>/dev/null) &
+		stopping+=("$s=$pid") ;;
+	3) inject_audited_fault "$port" unlisted=1 unlisted=0 $((2000 + RANDOM % 3000)) ;;
+	4) inject_audited_fault "$port" backoff_odd=1 backoff_odd=0 $ms ;;
 	esac
 }
-# A copy is taken, or the store comes back from one, once or twice; its header is odd.
-fault_of_drill() {
+# A backup is taken, or the store is restored from one, once or twice, or its
+# era header is malformed.
+random_restore_fault() {
 	local how=(reset silent answer) ms=$((RANDOM % 1000))
 	how=${how[$((RANDOM % 3))]}
-	case $(rnd 6) in
-	0) note copy; post $base copy=1 ;;
-	1 | 2) note "away $ms ms, restore $how"
-		post $base down=reset
-		(nap $ms; post $base "down=no&restore=$how") & ;;
-	3) note "two restores $how, $((ms / 2)) ms between"
-		post $base "restore=$how&era_skip=$((RANDOM % 3))"
-		(nap $((ms / 2)); post $base "restore=$how") & ;;
-	4) note "copy, a patch, restore $how"
-		post $base copy=1
+	case $(random_below 6) in
+	0) log_fault backup; set_faults $base copy=1 ;;
+	1 | 2) log_fault "store down $ms ms, restore $how"
+		set_faults $base down=reset
+		(sleep_ms $ms; set_faults $base "down=no&restore=$how") & ;;
+	3) log_fault "two restores $how, $((ms / 2)) ms apart"
+		set_faults $base "restore=$how&era_skip=$((RANDOM % 3))"
+		(sleep_ms $((ms / 2)); set_faults $base "restore=$how") & ;;
+	4) log_fault "backup, patch, restore $how"
+		set_faults $base copy=1
 		patch "soak.k$RANDOM=true"
-		post $base "restore=$how" ;;
+		set_faults $base "restore=$how" ;;
 	5) local named=(none odd huge)
-		harm $base "era_named=${named[$((RANDOM % 3))]}" era_named=ok $ms ;;
+		inject_fault $base "era_named=${named[$((RANDOM % 3))]}" era_named=ok $ms ;;
 	esac
 }
-patch() { # key=value: keeps what was accepted
+# Patches the configuration and logs the accepted version.
+patch() { # key=value
 	$bin ctl --deployment "$ini" patch "$1" >>"$logs/patches.log" 2>&1
 }
+# Prints the highest version that was accepted.
 newest_accepted() { awk '/^accepted: version/ {if ($3 > n) n = $3} END {print n + 0}' "$logs/patches.log"; }
-# The operator writes again what was lost, until its numbers go on.
-write_again() {
+# Writes patches until the version numbers reach those lost in a restore.
+rewrite_lost_versions() {
 	local newest=$(newest_accepted) k
 	for ((k = 0; k < 60; k++)); do
 		[ "$($bin ctl --deployment "$ini" show | awk '/^live version/ {print $3}')" -lt "$newest" ] || return 0
 		patch "soak.again$k=true"
 	done
 }
-everywhere() { # version: each instance has it, and none another
+# Succeeds if every instance uses this version.
+version_in_force() { # version
 	local out
 	out=$($bin ctl --deployment "$ini" status)
-	echo "version $1 wanted"
+	echo "version $1 expected"
 	echo "$out"
 	awk -v v="$1" 'NR > 1 && $2 != v {bad = 1} END {exit bad || NR < 2}' <<<"$out"
 }
-servers_known() { # by each instance: all that run
+# Succeeds if every instance lists all six servers.
+all_list_servers() {
 	local i n bad=0
 	for ((i = 1; i <= entries; i++)); do
 		n=$(curl -s -m 2 "http://127.0.0.1:$((base + 9 + i))/admin/metrics" | awk '/^service_backends/ {s += $2} END {print s + 0}')
@@ -230,30 +260,34 @@
 	done
 	return $bad
 }
-calm_drill() { # nothing that was confirmed before it is lost, and what follows is in force
-	write_again
+# Restores the store once more, without other faults: nothing that was confirmed
+# before may be lost, and later versions must take effect.
+final_restore_loses_nothing() {
+	rewrite_lost_versions
 	patch soak.before=true
 	sleep 1
-	post $base copy=1
+	set_faults $base copy=1
 	patch soak.lost=true
 	sleep 1
-	post $base restore=reset
+	set_faults $base restore=reset
 	sleep 2
-	everywhere "$(newest_accepted)" || return 1
-	write_again
+	version_in_force "$(newest_accepted)" || return 1
+	rewrite_lost_versions
 	patch soak.after=true
 	sleep 2
-	everywhere "$(newest_accepted)" && servers_known
+	version_in_force "$(newest_accepted)" && all_list_servers
 }
-disturb() { # port, query that harms, query that mends, ms; the servers go on judging
-	note "$1 $2 for $4 ms"
-	post "$1" "$2"
-	(nap "$4"; post "$1" "$3") &
+# Injects a fault for some time while the servers continue their backoff checks.
+inject_audited_fault() { # port, query that sets it, query that clears it, ms
+	log_fault "$1 $2 for $4 ms"
+	set_faults "$1" "$2"
+	(sleep_ms "$4"; set_faults "$1" "$3") &
 }
-ended=() # servers that leave and are killed in the background, as NAME=PID
-restart_ended() {
+stopping=() # servers that drain and are killed in the background, as NAME=PID
+# Starts the servers again that have been killed after draining.
+restart_stopped() {
 	local left=() e
-	for e in "${ended[@]}"; do
+	for e in "${stopping[@]}"; do
 		if kill -0 "${e#*=}" 2>/dev/null; then
 			left+=("$e")
 		else
@@ -262,38 +296,40 @@
 			[ "${pids[${e%%=*}]}" != "${e#*=}" ] || start "${e%%=*}"
 		fi
 	done
-	ended=("${left[@]}")
+	stopping=("${left[@]}")
 }
-fault() {
+# Injects one random fault.
+random_fault() {
 	local ms=$((200 + RANDOM % 1800)) s
-	case $(rnd $kinds) in
-	0) end_and_start TERM "$(an_entry)" 100 ;;
-	1) end_and_start KILL "$(an_entry)" $((RANDOM % 500)) ;;
-	2) end_and_start KILL "$(an_entry)" 0; end_and_start KILL "$(an_entry)" 0 ;;
-	3) pause "$(an_entry)" $ms ;;
-	4) end_and_start KILL "$(a_server)" $((RANDOM % 500)) ;;
-	5) s=$(a_server); note "TERM $s"; kill -TERM "${pids[$s]}" 2>/dev/null; end_and_start KILL "$s" $((2500 + RANDOM % 500)) ;;
-	6) pause "$(a_server)" $ms ;;
-	7) harm $base "down=$( ((RANDOM % 2)) && echo busy || echo silent)" down=no $ms ;;
-	8) harm $base lost_pct=30 lost_pct=0 $ms ;;
-	9) note forget; post $base forget=1 ;;
-	10) harm "$(a_proxy)" "delay_ms=$((1 + RANDOM % 60))" delay_ms=0 $ms ;;
-	11) harm "$(a_proxy)" "silent=$( ((RANDOM % 2)) && echo up || echo down)" silent=no $ms ;;
-	12) s=$(a_proxy); note "reset $s"; post "$s" reset=1
-		[ -z "$backoff" ] || post_all 'audit_off=1&audit_on=1' $(ports_of "$s") ;;
-	13) harm "$(a_proxy)" refuse=1 refuse=0 $ms ;;
-	14) harm "$(server_port "$(a_server)")" "$( ((RANDOM % 2)) && echo hang_pct=20 || echo cut_pct=20)" 'hang_pct=0&cut_pct=0' $ms ;;
-	16 | 17 | 18) harm "$(server_port "$(a_server)")" "limit_milli=$(a_limit)" "limit_milli=-1" $((3000 + RANDOM % 8000)) ;;
-	19) post "$(server_port "$(a_server)")" "limit_asked=$((RANDOM % 2))&limit_odd=$((RANDOM % 2))" ;;
-	15) note patch; patch "soak.k$RANDOM=true" &
-		s=$(an_entry); kill -HUP "${pids[$s]}" 2>/dev/null ;;
+	case $(random_below $fault_kinds) in
+	0) restart_process TERM "$(random_entry)" 100 ;;
+	1) restart_process KILL "$(random_entry)" $((RANDOM % 500)) ;;
+	2) restart_process KILL "$(random_entry)" 0; restart_process KILL "$(random_entry)" 0 ;;
+	3) pause_process "$(random_entry)" $ms ;;
+	4) restart_process KILL "$(random_server)" $((RANDOM % 500)) ;;
+	5) s=$(random_server); log_fault "TERM $s"; kill -TERM "${pids[$s]}" 2>/dev/null; restart_process KILL "$s" $((2500 + RANDOM % 500)) ;;
+	6) pause_process "$(random_server)" $ms ;;
+	7) inject_fault $base "down=$( ((RANDOM % 2)) && echo busy || echo silent)" down=no $ms ;;
+	8) inject_fault $base lost_pct=30 lost_pct=0 $ms ;;
+	9) log_fault forget; set_faults $base forget=1 ;;
+	10) inject_fault "$(random_proxy)" "delay_ms=$((1 + RANDOM % 60))" delay_ms=0 $ms ;;
+	11) inject_fault "$(random_proxy)" "silent=$( ((RANDOM % 2)) && echo up || echo down)" silent=no $ms ;;
+	12) s=$(random_proxy); log_fault "reset $s"; set_faults "$s" reset=1
+		[ -z "$backoff" ] || set_faults_at 'audit_off=1&audit_on=1' $(affected_ports "$s") ;;
+	13) inject_fault "$(random_proxy)" refuse=1 refuse=0 $ms ;;
+	14) inject_fault "$(server_port "$(random_server)")" "$( ((RANDOM % 2)) && echo hang_pct=20 || echo cut_pct=20)" 'hang_pct=0&cut_pct=0' $ms ;;
+	16 | 17 | 18) inject_fault "$(server_port "$(random_server)")" "limit_milli=$(random_limit)" "limit_milli=-1" $((3000 + RANDOM % 8000)) ;;
+	19) set_faults "$(server_port "$(random_server)")" "limit_asked=$((RANDOM % 2))&limit_odd=$((RANDOM % 2))" ;;
+	15) log_fault patch; patch "soak.k$RANDOM=true" &
+		s=$(random_entry); kill -HUP "${pids[$s]}" 2>/dev/null ;;
 	esac
 }
-# Copies of one fatal request at all instances, until the file `calm` is there.
-send_fatal() { # seconds between two
+# Sends copies of one fatal request to random instances until the file
+# `stop_fatal` exists.
+send_fatal() { # interval in seconds
 	local n=0
 	RANDOM=$((seed + 1000))
-	while [ ! -e "$logs/calm" ]; do
+	while [ ! -e "$logs/stop_fatal" ]; do
 		n=$((n + 1))
 		curl -s -m 2 -o /dev/null -X POST -H 'X-Tenant: strada' \
 			-H "X-Request-Id: fatal-$1-$n" -d ends-servers \
@@ -301,42 +337,47 @@
 		sleep "$1"
 	done
 }
-revive() { # servers that have ended under the fatal request start again
+# Restarts the servers that have crashed under the fatal request.
+restart_crashed_servers() {
 	local i name rc
 	for i in 0 1 2; do
 		name=server:harta-$i
 		kill -0 "${pids[$name]}" 2>/dev/null && continue
 		wait "${pids[$name]}"
 		rc=$?
-		[ $rc -eq $FATAL_EXIT ] || note "$name ended with $rc"
+		[ $rc -eq $CRASH_EXIT ] || log_fault "$name exited with $rc"
 		start $name
 	done
 }
-fatal_ends() { cat "$logs"/server:harta-*.log | grep -c 'ends under'; }
-few_ends() { # since: the count before
-	echo "$(($(fatal_ends) - $1)) servers ended after the faults"
-	(($(fatal_ends) - $1 <= FATAL_ENDS))
+count_crashes() { cat "$logs"/server:harta-*.log | grep -c 'ends under'; }
+# Succeeds if few servers crashed since the given count.
+few_crashes() { # crashes before
+	echo "$(($(count_crashes) - $1)) servers crashed after the faults"
+	(($(count_crashes) - $1 <= CRASHES_MAX))
 }
-calm_servers='hang_pct=0&cut_pct=0&limit_milli=-1&limit_odd=0&shed_pct=0&backoff_milli=-1&backoff_odd=0&late_ms=0&unlisted=0'
-mend() {
-	post $base 'down=no&lost_pct=0&era_named=ok'
+no_server_faults='hang_pct=0&cut_pct=0&limit_milli=-1&limit_odd=0&shed_pct=0&backoff_milli=-1&backoff_odd=0&late_ms=0&unlisted=0'
+# Clears all faults and resumes all processes.
+clear_faults() {
+	set_faults $base 'down=no&lost_pct=0&era_named=ok'
 	for p in $((base + 1)) $((base + 59)) $((base + 79)); do
-		post $p 'delay_ms=0&silent=no&refuse=0&reset=1'
+		set_faults $p 'delay_ms=0&silent=no&refuse=0&reset=1'
 	done
 	for s in 0 1 2; do
-		post $((base + 50 + s)) "$calm_servers"
-		post $((base + 70 + s)) "$calm_servers"
+		set_faults $((base + 50 + s)) "$no_server_faults"
+		set_faults $((base + 70 + s)) "$no_server_faults"
 	done
 	for p in "${pids[@]}"; do kill -CONT "$p" 2>/dev/null; done
 }
-check() { # what, command...
-	local what=$1
+check() { # label, command...
+	local label=$1
 	shift
 	"$@" >>"$logs/checks.log" 2>&1 && return
-	echo "soak seed $seed: FAIL $what"
+	echo "soak seed $seed: FAIL $label"
 	fails=$((fails + 1))
 }
-limits_kept() { # as the servers judge that run now, by all requests they got
+# Succeeds if no server that runs now got more than the limits that it
+# announced.
+limits_respected() {
 	local s port bad=0
 	for s in 0 1 2; do
 		for port in $((base + 50 + s)) $((base + 70 + s)); do
@@ -347,31 +388,38 @@
 	done
 	return $bad
 }
-backoff_kept() { # as the servers judge that run now: the users' rules, the second sooner
+# Succeeds if no server that runs now got more than two requests of an instance
+# in one backoff, or any after it announced that it drains. The second check
+# begins sooner than the users' rule.
+backoffs_respected() {
 	local port bad=0
-	for port in $(all_servers); do
+	for port in $(all_server_ports); do
 		curl -s -m 2 "http://127.0.0.1:$port/stand/stats" | awk -v port="$port" '
 			{n[$1] = $2}
-			END {print port ": " n["backoffs"] + 0 " backoffs, at most " n["backoff_worst"] + 0 " of an instance in one; told " n["draining_told"] + 0 " times that it drains, got " n["draining_got"] + 0
+			END {print port ": " n["backoffs"] + 0 " backoffs, at most " n["backoff_worst"] + 0 " requests of an instance in one; announced draining " n["draining_told"] + 0 " times, got " n["draining_got"] + 0 " requests afterwards"
 				exit !(n["backoff_worst"] <= 2 && n["draining_got"] == 0)}' || bad=1
 	done
 	return $bad
 }
-versions_rise() { # in each lifetime of each entry
+# Succeeds if no instance takes a lower version between two of its starts. The
+# same version may come again only after a restore.
+versions_increase() {
 	awk -v again="$drills" 'FNR == 1 {v = 0} / ev=100 / {v = 0}
 		/ ev=200 / {match($0, /version=[0-9]+/); n = substr($0, RSTART + 8, RLENGTH - 8) + 0
 			if (n < v || (n == v && !again)) {print FILENAME ": " $0; bad = 1}; v = n}
 		END {exit bad}' "$logs"/entry:*.log
 }
-all_run() { # whatever was not ended by a fault still runs
+# Succeeds if every process that no fault has ended is still running.
+processes_running() {
 	for name in "${!pids[@]}"; do
 		kill -0 "${pids[$name]}" 2>/dev/null || {
-			echo "$name has ended by itself"
+			echo "$name exited on its own"
 			return 1
 		}
 	done
 }
-served() { # of the calls after the faults at least 95%
+# Succeeds if at least 95% of the calls after the faults were served.
+calls_served() {
 	awk '/^calls [0-9]+:/ {n = $2 + 0} $1 == "strada" || $1 == "semillero" {c += $3; d += $4}
 		END {print d " of " c; exit !(c > 0 && d >= 0.95 * c)}' "$logs/after.txt"
 }
@@ -379,7 +427,7 @@
 write_ini >"$ini"
 start store:
 sleep 0.2
-[ -z "$drills" ] || post $base changes_only=1
+[ -z "$drills" ] || set_faults $base changes_only=1
 : >"$logs/patches.log"
 start proxy:
 start proxy:harta
@@ -400,44 +448,44 @@
 end=$((SECONDS + seconds))
 while ((SECONDS < end)); do
 	if [ -n "$backoff" ] && ((RANDOM % 2)); then
-		fault_of_backoff
+		random_backoff_fault
 	elif [ -n "$drills" ] && ((RANDOM % 2)); then
-		fault_of_drill
+		random_restore_fault
 	else
-		fault
+		random_fault
 	fi
-	nap $((RANDOM % 600))
-	[ -z "$fatal" ] || revive
-	[ -z "$backoff" ] || restart_ended
+	sleep_ms $((RANDOM % 600))
+	[ -z "$fatal" ] || restart_crashed_servers
+	[ -z "$backoff" ] || restart_stopped
 done
 wait $load_pid
 load_rc=$?
-while ((${#ended[@]})); do
-	nap 100
-	restart_ended
+while ((${#stopping[@]})); do
+	sleep_ms 100
+	restart_stopped
 done
-mend
+clear_faults
 if [ -n "$fatal" ]; then
-	sleep 3 # what is cut off or has just started may not know yet
-	ends_before=$(fatal_ends)
-	for ((i = 0; i < 8; i++)); do sleep 0.5; revive; done
-	check "after the faults: few servers end under the fatal request" few_ends "$ends_before"
-	touch "$logs/calm"
+	sleep 3 # until instances that were cut off or have just started know
+	crashes_before=$(count_crashes)
+	for ((i = 0; i < 8; i++)); do sleep 0.5; restart_crashed_servers; done
+	check "after the faults: few servers crash under the fatal request" few_crashes "$crashes_before"
+	touch "$logs/stop_fatal"
 	sleep 1
-	revive
+	restart_crashed_servers
 fi
 sleep 4
-check "under faults: nothing twice, no false 'not run', no foreign answer" test $load_rc -eq 0
-[ -z "$drills" ] || check "afterwards: a drill in calm loses nothing" calm_drill
+check "under faults: no duplicate run, no false 'not run', no mismatched response" test $load_rc -eq 0
+[ -z "$drills" ] || check "afterwards: a restore without other faults loses nothing" final_restore_loses_nothing
 check "afterwards: a version is in force everywhere" timeout 10 $bin ctl --deployment "$ini" patch soak.end=true --wait
 $bin load --deployment "$ini" --seconds 2 --rate 150 --seed "$((seed + 1))" >"$logs/after.txt" 2>&1
-check "afterwards: invariants" test $? -eq 0
-check "afterwards: served" served
-check "no server got more than the limit that it named" limits_kept
-check "servers get nothing in a backoff, nor after they announced that they drain" backoff_kept
-check "versions never go back" versions_rise
-check "nothing ends by itself" all_run
-check "no invariant broken" sh -c "! grep -l ' ev=900 ' '$logs'/*.log"
+check "afterwards: invariants hold" test $? -eq 0
+check "afterwards: calls are served" calls_served
+check "no server got more than the limit that it announced" limits_respected
+check "servers get nothing during a backoff, nor after they announced that they drain" backoffs_respected
+check "versions never decrease" versions_increase
+check "no process exited on its own" processes_running
+check "no invariant violated" sh -c "! grep -l ' ev=900 ' '$logs'/*.log"
 if ((fails)); then
 	echo "soak seed $seed: $fails check(s) failed; logs in $logs"
 	tail -n 5 "$logs/checks.log"
