--- a/control/backend_deferred.c
+++ b/control/backend_deferred.c
@@ -21,8 +21,8 @@
 static bool most_removed(const struct backend_list *l,
 			 const struct list_entry *e)
 {
-	unsigned removed = ended_servers_count(&l->ended, e->entry.service,
-					       l->restored_ms);
+	unsigned removed = removed_servers_count(&l->removed, e->entry.service,
+						 l->restored_ms);
 	unsigned all = removed, missing = removed;
 	GHashTableIter it;
 	gpointer v;
@@ -142,7 +142,7 @@
 			.pos = e->pos, .removed = true, .entry = e->entry};
 
 		l->changed(l->priv, &c);
-		ended_servers_add(&l->ended, &e->entry, l->pos, now_ms);
+		removed_servers_add(&l->removed, &e->entry, l->pos, now_ms);
 		g_hash_table_remove(l->entries, c.entry.id);
 	}
 	g_ptr_array_unref(due);
--- a/control/backend_list.c
+++ b/control/backend_list.c
@@ -27,7 +27,7 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 	l->unconfirmed =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
-	ended_servers_init(&l->ended);
+	removed_servers_init(&l->removed);
 	l->recent = g_array_new(FALSE, FALSE, sizeof(struct backend_change));
 	l->recent_ms = g_array_new(FALSE, FALSE, sizeof(int64_t));
 	l->changed = changed;
@@ -106,7 +106,7 @@
 	struct backend_change removal = *c;
 
 	backend_list_publish(l, &removal, now_ms);
-	ended_servers_add(&l->ended, &e->entry, c->pos, now_ms);
+	removed_servers_add(&l->removed, &e->entry, c->pos, now_ms);
 	g_hash_table_remove(l->entries, removal.entry.id);
 }
 
@@ -259,7 +259,8 @@
 		update_entry(l, e, c, now_ms);
 		return;
 	}
-	switch (ended_servers_classify(&l->ended, &c->entry, c->pos, now_ms)) {
+	switch (removed_servers_classify(&l->removed, &c->entry, c->pos,
+					 now_ms)) {
 	case ENTRY_NEW:
 		backend_list_add(l, c, now_ms);
 		break;
--- a/control/backend_list.h
+++ b/control/backend_list.h
@@ -10,14 +10,14 @@
 #ifndef MP_CONTROL_BACKEND_LIST_H
 #define MP_CONTROL_BACKEND_LIST_H
 
-#include "control/ended_servers.h"
+#include "control/removed_servers.h"
 #include "member/gossip.h"
 
 struct backend_list {
 	int heartbeat_ms;    /* interval at which servers write their entries */
 	GHashTable *entries; /* by id, struct list_entry * */
 	GHashTable *unconfirmed; /* by id, see ENTRY_UNCONFIRMED */
-	struct ended_servers ended;
+	struct removed_servers removed;
 	struct store_position pos; /* records before it are applied */
 	bool loaded;		   /* a full listing was read at least once */
 	int64_t fresh_ms;	   /* time as of which the list is complete */
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -162,10 +162,10 @@
 
 /*
  * config_watch_import() applies a peer's newest record, which precedes `pos`
- * and was the newest at told_ms; reading continues from there.
+ * and was the newest at confirmed_ms; reading continues from there.
  */
 void config_watch_import(struct config_watch *w, struct lstr record,
-			 struct store_position pos, int64_t told_ms)
+			 struct store_position pos, int64_t confirmed_ms)
 {
 	struct store_record rec = {
 		.pos = pos, .key = lstr0(w->source.key), .value = record};
@@ -179,7 +179,7 @@
 	apply(w, c, &rec, "peer");
 	w->pos = pos;
 	w->listed = true;
-	w->peer_confirmed_ms = told_ms;
+	w->peer_confirmed_ms = confirmed_ms;
 }
 
 /*
@@ -281,10 +281,10 @@
 
 /*
  * config_watch_tick() polls when it is this instance's turn (`first`), or when
- * no peer has confirmed the newest version for a while. Without `may_ask` it
+ * no peer has confirmed the newest version for a while. Without `may_poll` it
  * waits for a peer's version to be imported. Call it about every 0.1 s.
  */
-void config_watch_tick(struct config_watch *w, bool may_ask, bool first,
+void config_watch_tick(struct config_watch *w, bool may_poll, bool first,
 		       int64_t now_ms)
 {
 	int silence_ms = w->behind_hubs ? SILENCE_BEHIND_HUBS_MS : SILENCE_MS;
@@ -293,7 +293,7 @@
 	 */
 	int64_t heard_ms = MAX(w->peer_confirmed_ms, w->era_ms);
 
-	w->polls = may_ask && (first || now_ms - heard_ms > silence_ms);
+	w->polls = may_poll && (first || now_ms - heard_ms > silence_ms);
 	if (w->polls && is_idle(w))
 		send_read(w);
 }
@@ -307,7 +307,7 @@
 
 /* Takes over a peer's position, if it belongs to the present era. */
 static void advance(struct config_watch *w, struct store_position pos,
-		    int64_t told_ms)
+		    int64_t confirmed_ms)
 {
 	if (pos.era != w->store.store->era)
 		return;
@@ -316,8 +316,8 @@
 		w->relist = false;
 	}
 	if (store_position_cmp(pos, w->pos) == 0 &&
-	    told_ms > w->peer_confirmed_ms)
-		w->peer_confirmed_ms = told_ms;
+	    confirmed_ms > w->peer_confirmed_ms)
+		w->peer_confirmed_ms = confirmed_ms;
 }
 
 /*
@@ -326,7 +326,7 @@
  * less than this instance, so that the store must be read.
  */
 int config_watch_apply_peer(struct config_watch *w, struct lstr record,
-			    struct store_position pos, int64_t told_ms)
+			    struct store_position pos, int64_t confirmed_ms)
 {
 	struct store_record rec = {
 		.pos = pos, .key = lstr0(w->source.key), .value = record};
@@ -340,7 +340,7 @@
 		if (ahead && pos.era == w->pos.era)
 			return -ESTALE;
 	}
-	advance(w, pos, told_ms);
+	advance(w, pos, confirmed_ms);
 	return 0;
 }
 
@@ -395,13 +395,13 @@
 }
 
 /*
- * config_watch_on_mark() handles a peer's report of how far it knows the
+ * config_watch_on_progress() handles a peer's report of how far it knows the
  * configuration. Returns the action needed to get a version that is new here
  * and that no pending call will return.
  */
-enum config_action config_watch_on_mark(struct config_watch *w,
-					const struct config_progress *m,
-					int64_t now_ms)
+enum config_action config_watch_on_progress(struct config_watch *w,
+					    const struct config_progress *m,
+					    int64_t now_ms)
 {
 	if (is_newer(w, m))
 		return choose_action(w, m, now_ms);
@@ -439,9 +439,9 @@
 	       w->newest_mark.digest != w->invalid_digest;
 }
 
-/* config_watch_mark() returns how far this instance knows the configuration. */
-struct config_progress config_watch_mark(const struct config_watch *w,
-					 int64_t store_ms, int64_t now_ms)
+/* config_watch_progress() returns how far this instance knows the configuration. */
+struct config_progress config_watch_progress(const struct config_watch *w,
+					     int64_t store_ms, int64_t now_ms)
 {
 	return (struct config_progress){
 		.pos = w->pos,
--- a/control/config_watch.h
+++ b/control/config_watch.h
@@ -51,19 +51,19 @@
 			void (*changed)(void *priv, struct config *c),
 			void *priv);
 void config_watch_import(struct config_watch *w, struct lstr record,
-			 struct store_position pos, int64_t told_ms);
-void config_watch_tick(struct config_watch *w, bool may_ask, bool first,
+			 struct store_position pos, int64_t confirmed_ms);
+void config_watch_tick(struct config_watch *w, bool may_poll, bool first,
 		       int64_t now_ms);
 void config_watch_read(struct config_watch *w);
 int config_watch_apply_peer(struct config_watch *w, struct lstr record,
-			    struct store_position pos, int64_t told_ms);
-enum config_action config_watch_on_mark(struct config_watch *w,
-					const struct config_progress *m,
-					int64_t now_ms);
+			    struct store_position pos, int64_t confirmed_ms);
+enum config_action config_watch_on_progress(struct config_watch *w,
+					    const struct config_progress *m,
+					    int64_t now_ms);
 bool config_watch_is_behind(const struct config_watch *w);
 void config_watch_new_era(struct config_watch *w, int64_t now_ms);
-struct config_progress config_watch_mark(const struct config_watch *w,
-					 int64_t store_ms, int64_t now_ms);
+struct config_progress config_watch_progress(const struct config_watch *w,
+					     int64_t store_ms, int64_t now_ms);
 uint32_t config_watch_age_ms(const struct config_watch *w, int64_t store_ms,
 			     int64_t now_ms);
 void config_watch_restart(struct config_watch *w);
--- a/control/control.c
+++ b/control/control.c
@@ -86,8 +86,8 @@
 	 * lists fed by peers counted too, two pollers cut off from the store
 	 * were not replaced, and a version was in force 3 s late.
 	 */
-	self->config =
-		config_watch_mark(&c->config, c->backends.answered_ms, now_ms);
+	self->config = config_watch_progress(&c->config,
+					     c->backends.answered_ms, now_ms);
 	c->can_serve =
 		c->can_serve || (c->config.version && c->backends.list.loaded);
 	self->ready = c->can_serve;
@@ -158,7 +158,7 @@
 
 	if (relay_from_peer(c, m))
 		return;
-	c->heard_peer = true;
+	c->seen_peer = true;
 	store_endpoint_learn(&c->store, m->sender.store_era, m->sender.name);
 	if (m->kind == GOSSIP_FEED) {
 		backend_watch_apply_feed(&c->backends, &m->feed, now_ms);
@@ -166,9 +166,9 @@
 	}
 	if (m->kind == GOSSIP_CRASHES)
 		crash_watch_add_peer(&c->crashes, m->sender.name, m->crashes);
-	fetch_config(
-		c, &m->sender,
-		config_watch_on_mark(&c->config, &m->sender.config, now_ms));
+	fetch_config(c, &m->sender,
+		     config_watch_on_progress(&c->config, &m->sender.config,
+					      now_ms));
 }
 
 /*
@@ -184,7 +184,7 @@
 {
 	return a->instances == b->instances &&
 	       arrays_equal(a->named, b->named, sizeof(struct peer_endpoint)) &&
-	       arrays_equal(a->sharers, b->sharers,
+	       arrays_equal(a->participants, b->participants,
 			    sizeof(struct limit_instance));
 }
 
@@ -192,20 +192,20 @@
 {
 	if (v->named)
 		g_array_unref(v->named);
-	if (v->sharers)
-		g_array_unref(v->sharers);
+	if (v->participants)
+		g_array_unref(v->participants);
 }
 
 /* Returns the instances that share the servers' limits; empty until known. */
-static GArray *sharers(const struct control *c, int64_t now_ms)
+static GArray *participants(const struct control *c, int64_t now_ms)
 {
 	bool known = c->record.listed || now_ms - c->started_ms > DISCOVERY_MS;
 
 	if (!known)
 		return g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
-	return peers_sharers(&c->peers.peers,
-			     (uint32_t)(c->settings.bounds.grace_s * 1000),
-			     now_ms);
+	return peers_limit_participants(
+		&c->peers.peers, (uint32_t)(c->settings.bounds.grace_s * 1000),
+		now_ms);
 }
 
 /* Sends the traffic thread the peers if they have changed. */
@@ -214,7 +214,7 @@
 	struct peer_view v = {
 		.instances = peers_count(&c->peers.peers, now_ms),
 		.named = peers_for_callers(&c->peers.peers, now_ms),
-		.sharers = sharers(c, now_ms),
+		.participants = participants(c, now_ms),
 	};
 
 	if (views_equal(&v, &c->last_view)) {
@@ -223,12 +223,12 @@
 	}
 	mp_event(EV_PEERS_CHANGED, G_LOG_LEVEL_MESSAGE,
 		 "instances=%u for_callers=%u sharers=%u", v.instances,
-		 v.named->len, v.sharers->len);
+		 v.named->len, v.participants->len);
 	clear_view(&c->last_view);
 	c->last_view = v;
 	/* Both threads only read the arrays, and each holds a reference. */
 	g_array_ref(v.named);
-	g_array_ref(v.sharers);
+	g_array_ref(v.participants);
 	control_send_traffic(c, TO_TRAFFIC_PEERS, g_memdup2(&v, sizeof(v)));
 }
 
--- a/control/control.h
+++ b/control/control.h
@@ -48,8 +48,8 @@
 struct peer_view {
 	unsigned instances; /* number that share the system's limits */
 	GArray *named; /* struct peer_endpoint, instances that callers may use */
-	/* struct limit_instance, see peers_sharers(); empty until known */
-	GArray *sharers;
+	/* struct limit_instance, see peers_limit_participants(); empty until known */
+	GArray *participants;
 };
 
 /* Values that the traffic thread reads by atomic loads. */
@@ -87,7 +87,7 @@
 	struct crash_watch crashes;
 	struct record_check records;
 	int64_t started_ms;
-	bool heard_peer;     /* a peer was heard since startup */
+	bool seen_peer;	     /* a peer was heard since startup */
 	bool can_serve;	     /* configuration and list were complete once */
 	int64_t stopping_ms; /* when stopping began; 0: not stopping */
 	struct control_view view;
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -27,7 +27,7 @@
 
 /* News to be sent repeatedly to the other instances. */
 struct broadcast {
-	struct crash_notice news;
+	struct crash_notice notice;
 	unsigned sends_left;
 	int64_t next_ms;
 	int64_t interval_ms;
@@ -57,7 +57,7 @@
 		 c->digest, change_info[change].name,
 		 w->source ? w->source : "-", c->nservers, c->periods,
 		 now_ms - c->last_crash_ms, c->due_ms ? c->due_ms - now_ms : 0,
-		 g_hash_table_size(w->ledger.cases));
+		 g_hash_table_size(w->tracker.cases));
 }
 
 static void send_verdict(struct crash_watch *w, const struct crash_case *c,
@@ -75,14 +75,14 @@
 /* Evidence goes to the instances that decide, verdicts go to all. */
 static bool goes_to_all(const struct crash_watch *w, const struct broadcast *t)
 {
-	if (!w->large || t->news.kind == CRASH_NOTICE_QUARANTINE)
+	if (!w->large || t->notice.kind == CRASH_NOTICE_QUARANTINE)
 		return true;
-	return t->news.kind == CRASH_NOTICE_ANSWERED && w->rank < HUB_COUNT;
+	return t->notice.kind == CRASH_NOTICE_ANSWERED && w->rank < HUB_COUNT;
 }
 
 /* Sends one datagram of news to all live peers or to the hubs. */
-static void send_news(struct crash_watch *w, const struct crash_notice *news,
-		      unsigned n, bool to_all, int64_t now_ms)
+static void send_updates(struct crash_watch *w, const struct crash_notice *news,
+			 unsigned n, bool to_all, int64_t now_ms)
 {
 	struct buf b = {0};
 
@@ -108,13 +108,13 @@
 
 		if (t->next_ms > now_ms || goes_to_all(w, t) != to_all)
 			continue;
-		news[n++] = t->news;
+		news[n++] = t->notice;
 		if (n < CRASH_NOTICES_MAX)
 			continue;
-		send_news(w, news, n, to_all, now_ms);
+		send_updates(w, news, n, to_all, now_ms);
 		n = 0;
 	}
-	send_news(w, news, n, to_all, now_ms);
+	send_updates(w, news, n, to_all, now_ms);
 }
 
 /* Schedules the next repetition of the broadcasts that were sent. */
@@ -147,7 +147,7 @@
 /* Sets the timer to the next decision or broadcast. */
 static void arm(struct crash_watch *w, int64_t now_ms)
 {
-	int64_t due = decides(w) ? crash_tracker_due_ms(&w->ledger) : 0;
+	int64_t due = decides(w) ? crash_tracker_due_ms(&w->tracker) : 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
 		int64_t next = g_array_index(w->broadcasts, struct broadcast, i)
@@ -168,7 +168,7 @@
 	int64_t now_ms = clock_ms();
 
 	if (decides(w))
-		crash_tracker_decide(&w->ledger, now_ms);
+		crash_tracker_decide(&w->tracker, now_ms);
 	send_due(w, true, now_ms);
 	send_due(w, false, now_ms);
 	schedule_repeats(w, now_ms);
@@ -187,7 +187,7 @@
 		const struct broadcast *t =
 			&g_array_index(w->broadcasts, struct broadcast, i - 1);
 
-		if (t->news.digest == digest)
+		if (t->notice.digest == digest)
 			g_array_remove_index(w->broadcasts, i - 1);
 	}
 }
@@ -197,7 +197,7 @@
 			  const struct crash_notice *news, unsigned times)
 {
 	int64_t now_ms = clock_ms();
-	struct broadcast t = {.news = *news,
+	struct broadcast t = {.notice = *news,
 			      .sends_left = times,
 			      .next_ms = now_ms,
 			      .interval_ms = times > EVIDENCE_SENDS
@@ -210,7 +210,7 @@
 	arm(w, now_ms);
 }
 
-static struct crash_notice verdict_news(const struct crash_case *c)
+static struct crash_notice verdict_notice(const struct crash_case *c)
 {
 	return (struct crash_notice){CRASH_NOTICE_QUARANTINE, c->digest,
 				     c->periods};
@@ -223,7 +223,7 @@
  */
 static void announce(struct crash_watch *w, const struct crash_case *c)
 {
-	struct crash_notice news = verdict_news(c);
+	struct crash_notice news = verdict_notice(c);
 
 	if (c->periods > 1 || w->rank >= HUB_COUNT)
 		return;
@@ -250,7 +250,7 @@
 		crash_record_put(&w->record, &news);
 }
 
-/* Handles a change of a case in the ledger. */
+/* Handles a change of a case in the tracker. */
 static void on_change(void *priv, const struct crash_case *c,
 		      enum crash_change change, int64_t now_ms)
 {
@@ -269,7 +269,7 @@
 			 int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_tracker_find(&w->ledger, news->digest);
+		crash_tracker_find(&w->tracker, news->digest);
 	bool verdict = c && c->quarantined;
 
 	if (!c)
@@ -281,7 +281,7 @@
 	if (!w->source || (verdict && w->large && w->rank < HUB_COUNT))
 		add_broadcast(w, news,
 			      verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
-	crash_tracker_add_answer(&w->ledger, news->digest, now_ms);
+	crash_tracker_add_answer(&w->tracker, news->digest, now_ms);
 }
 
 /* An instance that reports another end doesn't know the verdict yet. */
@@ -289,19 +289,20 @@
 		      int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_tracker_find(&w->ledger, news->digest);
+		crash_tracker_find(&w->tracker, news->digest);
 	struct crash_notice verdict;
 
 	if (c && c->quarantined && w->source && w->rank < HUB_COUNT) {
-		verdict = verdict_news(c);
+		verdict = verdict_notice(c);
 		add_broadcast(w, &verdict, 1);
 	}
 	if (!w->source)
 		add_broadcast(w, news, EVIDENCE_SENDS);
-	crash_tracker_add_crash(&w->ledger, news->digest, news->detail, now_ms);
+	crash_tracker_add_crash(&w->tracker, news->digest, news->detail,
+				now_ms);
 }
 
-/* Applies one item of news to the ledger. */
+/* Applies one item of news to the tracker. */
 static void apply(struct crash_watch *w, const struct crash_notice *news)
 {
 	int64_t now_ms = clock_ms();
@@ -314,8 +315,8 @@
 		apply_answer(w, news, now_ms);
 		break;
 	case CRASH_NOTICE_QUARANTINE:
-		crash_tracker_quarantine(&w->ledger, news->digest, news->detail,
-					 now_ms);
+		crash_tracker_quarantine(&w->tracker, news->digest,
+					 news->detail, now_ms);
 		break;
 	}
 	arm(w, now_ms);
@@ -365,10 +366,10 @@
 	GHashTableIter it;
 	gpointer v;
 
-	g_hash_table_iter_init(&it, w->ledger.cases);
+	g_hash_table_iter_init(&it, w->tracker.cases);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct crash_case *c = v;
-		struct crash_notice news = verdict_news(c);
+		struct crash_notice news = verdict_notice(c);
 
 		if (c->quarantined)
 			g_array_append_val(verdicts, news);
@@ -396,7 +397,7 @@
 	if (w->joins != w->channel->joins && rank < HUB_COUNT)
 		broadcast_verdicts(w);
 	w->joins = w->channel->joins;
-	crash_tracker_tick(&w->ledger, rank == 0, clock_ms());
+	crash_tracker_tick(&w->tracker, rank == 0, clock_ms());
 	/*
 	 * The rank may have changed, and with it whether this instance decides.
 	 */
@@ -419,7 +420,7 @@
 	w->verdict = verdict;
 	w->priv = priv;
 	w->broadcasts = g_array_new(FALSE, FALSE, sizeof(struct broadcast));
-	crash_tracker_init(&w->ledger, on_change, w);
+	crash_tracker_init(&w->tracker, on_change, w);
 	crash_record_start(&w->record, loop, store, &channel->peers.self);
 	ev_init(&w->due, on_due);
 	w->due.data = w;
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -14,12 +14,12 @@
 
 #include "control/crash_record.h"
 #include "control/peer_channel.h"
-#include "core/crash_ledger.h"
+#include "core/crash_tracker.h"
 #include "core/quarantine.h"
 
 struct crash_watch {
 	struct ev_loop *loop;
-	struct crash_tracker ledger;
+	struct crash_tracker tracker;
 	struct peer_channel *channel;
 	struct crash_record record;
 	ev_timer due;	    /* next decision or broadcast */
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -13,7 +13,7 @@
 	 * A changed roster is sent in full for this long, three times, since
 	 * datagrams get lost.
 	 */
-	ROLL_WHOLE_MS = 1500,
+	FULL_ROSTER_MS = 1500,
 };
 
 /* Sends a datagram that does not count as a heartbeat. */
@@ -146,8 +146,8 @@
 }
 
 /* Sends the full roster to one peer, or to all live ones if `to` is NULL. */
-static void send_whole_roll(struct peer_channel *ch, const struct roster *r,
-			    struct peer *to, int64_t now_ms)
+static void send_full_roster(struct peer_channel *ch, const struct roster *r,
+			     struct peer *to, int64_t now_ms)
 {
 	struct buf b = {0};
 	guint at = 0;
@@ -164,7 +164,7 @@
 }
 
 /* Sends the full roster while it changes, and otherwise only its digest. */
-static void send_roll(struct peer_channel *ch, int64_t now_ms)
+static void publish_roster(struct peer_channel *ch, int64_t now_ms)
 {
 	struct buf b = {0};
 	struct roster r;
@@ -173,12 +173,12 @@
 	roster_init(&r);
 	hubs_build_roster(&ch->peers, &r, now_ms);
 	digest = roster_digest(&r);
-	if (digest != ch->roster_digest || ch->roll_sent_ms == 0)
-		ch->roll_changed_ms = now_ms;
+	if (digest != ch->roster_digest || ch->last_roster_ms == 0)
+		ch->roster_changed_ms = now_ms;
 	ch->roster_digest = digest;
-	ch->roll_sent_ms = now_ms;
-	if (now_ms - ch->roll_changed_ms < ROLL_WHOLE_MS) {
-		send_whole_roll(ch, &r, NULL, now_ms);
+	ch->last_roster_ms = now_ms;
+	if (now_ms - ch->roster_changed_ms < FULL_ROSTER_MS) {
+		send_full_roster(ch, &r, NULL, now_ms);
 	} else {
 		gossip_write_roster_digest(&b, &ch->peers.self, digest);
 		peer_channel_send_live(ch, &b, now_ms);
@@ -188,8 +188,8 @@
 }
 
 /* Sends the full roster to a peer that missed a part of it. */
-static void send_roll_again(struct peer_channel *ch, const char *name,
-			    int64_t now_ms)
+static void resend_roster(struct peer_channel *ch, const char *name,
+			  int64_t now_ms)
 {
 	struct peer *p = peers_find(&ch->peers, name);
 	struct roster r;
@@ -198,7 +198,7 @@
 		return;
 	roster_init(&r);
 	hubs_build_roster(&ch->peers, &r, now_ms);
-	send_whole_roll(ch, &r, p, now_ms);
+	send_full_roster(ch, &r, p, now_ms);
 	roster_clear(&r);
 }
 
@@ -217,8 +217,8 @@
 }
 
 /* Asks the sender of a roster for the details of unknown members. */
-static void request_person(struct peer_channel *ch, struct peer *hub,
-			   const GArray *ids, int64_t now_ms)
+static void request_member_info(struct peer_channel *ch, struct peer *hub,
+				const GArray *ids, int64_t now_ms)
 {
 	for (guint i = 0; hub && i < ids->len; i++) {
 		struct buf b = {0};
@@ -231,20 +231,20 @@
 }
 
 /* Applies a roster and asks for details of the members it adds. */
-static void apply_roll(struct peer_channel *ch, const struct gossip_message *m,
-		       int64_t now_ms)
+static void receive_roster(struct peer_channel *ch,
+			   const struct gossip_message *m, int64_t now_ms)
 {
 	GArray *unknown = g_array_new(FALSE, FALSE, sizeof(uint32_t));
 
 	hubs_apply_roster(&ch->peers, &m->roster, unknown, now_ms);
-	request_person(ch, peers_find(&ch->peers, m->sender.name), unknown,
-		       now_ms);
+	request_member_info(ch, peers_find(&ch->peers, m->sender.name), unknown,
+			    now_ms);
 	g_array_unref(unknown);
 }
 
 /* Answers a request for a member's details. */
-static void reply_person(struct peer_channel *ch,
-			 const struct gossip_message *m, int64_t now_ms)
+static void reply_member_info(struct peer_channel *ch,
+			      const struct gossip_message *m, int64_t now_ms)
 {
 	struct peer *asker = peers_find(&ch->peers, m->sender.name);
 	const struct peer *p = hubs_find_peer(&ch->peers, m->info_id);
@@ -285,13 +285,13 @@
 	    peers_note_heartbeat(&ch->peers, &m->sender, now_ms))
 		on_peer_joined(ch, &m->sender, now_ms);
 	if (m->kind == GOSSIP_ROSTER)
-		apply_roll(ch, m, now_ms);
+		receive_roster(ch, m, now_ms);
 	else if (m->kind == GOSSIP_ROSTER_DIGEST)
 		apply_digest(ch, m, now_ms);
 	else if (m->kind == GOSSIP_ROSTER_REQUEST)
-		send_roll_again(ch, m->sender.name, now_ms);
+		resend_roster(ch, m->sender.name, now_ms);
 	else if (m->kind == GOSSIP_INFO_REQUEST)
-		reply_person(ch, m, now_ms);
+		reply_member_info(ch, m, now_ms);
 	else if (m->kind == GOSSIP_INFO)
 		peers_add(&ch->peers, &m->info, now_ms);
 	ch->received(ch->priv, m);
@@ -323,8 +323,8 @@
 void peer_channel_tick(struct peer_channel *ch, int64_t now_ms)
 {
 	hubs_assign(&ch->peers, now_ms);
-	if (hubs_roster_due(&ch->peers, ch->roll_sent_ms, now_ms))
-		send_roll(ch, now_ms);
+	if (hubs_roster_due(&ch->peers, ch->last_roster_ms, now_ms))
+		publish_roster(ch, now_ms);
 	send_heartbeats(ch, now_ms, TO_DUE);
 }
 
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -15,11 +15,11 @@
 	struct peer_table peers;
 	int sock;
 	ev_io io;
-	unsigned joins;		 /* peers that joined or returned so far */
-	bool has_new_peer;	 /* a peer joined since the last feed */
-	uint32_t roster_digest;	 /* of the last roster sent */
-	int64_t roll_changed_ms; /* when that digest last changed */
-	int64_t roll_sent_ms;	 /* when the last roster was sent; 0: never */
+	unsigned joins;		   /* peers that joined or returned so far */
+	bool has_new_peer;	   /* a peer joined since the last feed */
+	uint32_t roster_digest;	   /* of the last roster sent */
+	int64_t roster_changed_ms; /* when that digest last changed */
+	int64_t last_roster_ms;	   /* when the last roster was sent; 0: never */
 	uint64_t bytes_in, bytes_out;
 	/* Called for each message that was received. */
 	void (*received)(void *priv, const struct gossip_message *m);
--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -6,7 +6,7 @@
 #include "misc/clock.h"
 
 enum {
-	ASK_EVERY_MS = 300, /* each time from another peer */
+	REQUEST_INTERVAL_MS = 300, /* each time from another peer */
 	SNAPSHOT_MAX = 16 << 20,
 	HEAD_MAX = 4096,
 	/*
@@ -23,7 +23,7 @@
 	CONCURRENT_ANSWERS_MAX = 8,
 };
 
-static const double ASK_TIMEOUT_S = 0.5;
+static const double REQUEST_TIMEOUT_S = 0.5;
 static const double SERVER_TIMEOUT_S = 5;
 
 /* Everything; everything but a large configuration; a small configuration. */
@@ -188,13 +188,13 @@
 	in->target = *peer;
 	in->config_only =
 		lstr_eq(path, CONFIG_PATH) || lstr_eq(path, CONFIG_WHOLE_PATH);
-	rc = http_client_open(&in->client, in->loop, &peer->addr, ASK_TIMEOUT_S,
-			      limits, &client_ops, in);
+	rc = http_client_open(&in->client, in->loop, &peer->addr,
+			      REQUEST_TIMEOUT_S, limits, &client_ops, in);
 	if (rc)
 		return rc;
 	buf_printf(&b, "GET %.*s HTTP/1.1\r\nHost: peer\r\n\r\n", (int)path.len,
 		   path.ptr);
-	http_client_send(&in->client, buf_lstr(&b), ASK_TIMEOUT_S, false);
+	http_client_send(&in->client, buf_lstr(&b), REQUEST_TIMEOUT_S, false);
 	buf_free(&b);
 	return 0;
 }
@@ -221,12 +221,12 @@
 	const struct peer *p;
 
 	if (in->client.state != CLIENT_CLOSED ||
-	    now_ms - in->asked_ms < ASK_EVERY_MS)
+	    now_ms - in->request_sent_ms < REQUEST_INTERVAL_MS)
 		return;
 	p = peers_pick_source(in->peers, in->turn++, now_ms);
 	if (!p)
 		return;
-	in->asked_ms = now_ms;
+	in->request_sent_ms = now_ms;
 	/* If this fails at once, another peer is asked next time. */
 	(void)send_request(in, &p->info,
 			   whole ? SNAPSHOT_WHOLE_PATH : SNAPSHOT_PATH);
--- a/control/peer_fetch.h
+++ b/control/peer_fetch.h
@@ -23,7 +23,7 @@
 	bool config_only;      /* the pending request is for a version only */
 	bool config_too_large; /* read the configuration from the store */
 	unsigned failures;     /* failed requests */
-	int64_t asked_ms;
+	int64_t request_sent_ms;
 	unsigned turn;
 };
 
--- a/control/publish.c
+++ b/control/publish.c
@@ -18,7 +18,7 @@
 	bool alone = c->record.listed &&
 		     now_ms - c->record.listed_ms > FIRST_HEARTBEAT_MS;
 
-	return (c->heard_peer || alone) && !config_watch_is_behind(&c->config);
+	return (c->seen_peer || alone) && !config_watch_is_behind(&c->config);
 }
 
 /*
--- a/control/ended_servers.c
+++ b/control/removed_servers.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "control/ended_servers.h"
+#include "control/removed_servers.h"
 
 enum {
 	/* Writes whose answer was lost are done some seconds later. */
@@ -15,14 +15,14 @@
 	REMOVED_MAX = 1024,
 };
 
-struct ended_server {
+struct removed_server {
 	struct backend_entry entry; /* last known */
 	struct store_position pos;  /* of its removal */
 	int64_t at_ms;
 };
 
-/* ended_servers_init() initializes an empty table. */
-void ended_servers_init(struct ended_servers *s)
+/* removed_servers_init() initializes an empty table. */
+void removed_servers_init(struct removed_servers *s)
 {
 	s->by_id = g_hash_table_new_full(g_str_hash, g_str_equal, NULL, g_free);
 }
@@ -30,16 +30,17 @@
 /* Returns whether no backup can contain the server any more. */
 static gboolean is_expired(gpointer key, gpointer value, gpointer now_ms)
 {
-	const struct ended_server *x = value;
+	const struct removed_server *x = value;
 
 	return *(const int64_t *)now_ms - x->at_ms >= BACKUP_AGE_MAX_MS;
 }
 
-/* ended_servers_add() remembers the last entry of a removed server. */
-void ended_servers_add(struct ended_servers *s, const struct backend_entry *e,
-		       struct store_position pos, int64_t now_ms)
+/* removed_servers_add() remembers the last entry of a removed server. */
+void removed_servers_add(struct removed_servers *s,
+			 const struct backend_entry *e,
+			 struct store_position pos, int64_t now_ms)
 {
-	struct ended_server *x = g_new0(struct ended_server, 1);
+	struct removed_server *x = g_new0(struct removed_server, 1);
 
 	if (g_hash_table_size(s->by_id) >= REMOVED_MAX)
 		g_hash_table_foreach_remove(s->by_id, is_expired, &now_ms);
@@ -50,11 +51,11 @@
 }
 
 /*
- * ended_servers_count() counts the servers of a service removed since
+ * removed_servers_count() counts the servers of a service removed since
  * since_ms.
  */
-unsigned ended_servers_count(const struct ended_servers *s, const char *service,
-			     int64_t since_ms)
+unsigned removed_servers_count(const struct removed_servers *s,
+			       const char *service, int64_t since_ms)
 {
 	GHashTableIter it;
 	unsigned n = 0;
@@ -62,7 +63,7 @@
 
 	g_hash_table_iter_init(&it, s->by_id);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
-		const struct ended_server *x = v;
+		const struct removed_server *x = v;
 
 		n += x->at_ms >= since_ms && !strcmp(x->entry.service, service);
 	}
@@ -70,15 +71,15 @@
 }
 
 /*
- * ended_servers_classify() classifies the entry of a server that is off the
+ * removed_servers_classify() classifies the entry of a server that is off the
  * list. An entry of a later era than the removal may come from a backup.
  */
-enum entry_status ended_servers_classify(const struct ended_servers *s,
-					 const struct backend_entry *e,
-					 struct store_position pos,
-					 int64_t now_ms)
+enum entry_status removed_servers_classify(const struct removed_servers *s,
+					   const struct backend_entry *e,
+					   struct store_position pos,
+					   int64_t now_ms)
 {
-	const struct ended_server *x = g_hash_table_lookup(s->by_id, e->id);
+	const struct removed_server *x = g_hash_table_lookup(s->by_id, e->id);
 	int64_t ago_ms = x ? now_ms - x->at_ms : 0;
 
 	if (!x)
--- a/core/backend.h
+++ b/core/backend.h
@@ -14,7 +14,7 @@
 
 #include "core/budget.h"
 #include "core/latency_model.h"
-#include "core/limit_want.h"
+#include "core/limit_borrow.h"
 #include "core/server_state.h"
 #include "misc/lstr.h"
 
@@ -81,14 +81,14 @@
 	GPtrArray *backends; /* struct backend *, the listed ones */
 	enum load_support load_support;
 	struct retry_budget budget;
-	struct budget_stats account; /* since this process started */
+	struct budget_stats retry_stats; /* since this process started */
 	const struct place_policy *policy;
 	struct service_model model; /* learned from the servers' answers */
 	/* When a request that could meet its target last found no capacity. */
 	int64_t capacity_missed_ms;
 	GQueue waiting; /* requests without a server, highest priority first */
-	struct limit_borrow want; /* sends requested from peers */
-	int64_t last_turn_ms;	  /* latest turn given out, see retry_after.h */
+	struct limit_borrow borrow; /* sends requested from peers */
+	int64_t last_turn_ms; /* latest turn given out, see retry_after.h */
 };
 
 struct backend_set {
--- a/core/crash_ledger.c
+++ b/core/crash_tracker.c
@@ -1,6 +1,6 @@
 #include <string.h>
 
-#include "core/crash_ledger.h"
+#include "core/crash_tracker.h"
 
 enum {
 	/*
--- a/core/crash_ledger.h
+++ b/core/crash_tracker.h
@@ -11,8 +11,8 @@
  * longer held against other requests. An answer clears a request at any time.
  * There is no I/O here, and the time is an argument.
  */
-#ifndef MP_CORE_CRASH_LEDGER_H
-#define MP_CORE_CRASH_LEDGER_H
+#ifndef MP_CORE_CRASH_TRACKER_H
+#define MP_CORE_CRASH_TRACKER_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/core/limit_want.c
+++ b/core/limit_borrow.c
@@ -1,4 +1,4 @@
-#include "core/limit_want.h"
+#include "core/limit_borrow.h"
 
 enum {
 	/* Grants arrive within this time or not at all. */
--- a/core/limit_want.h
+++ b/core/limit_borrow.h
@@ -8,8 +8,8 @@
  * never grows: if the grant is lost, there is one send less. A late grant is
  * ignored, as its lender may have got another token by then.
  */
-#ifndef MP_CORE_LIMIT_WANT_H
-#define MP_CORE_LIMIT_WANT_H
+#ifndef MP_CORE_LIMIT_BORROW_H
+#define MP_CORE_LIMIT_BORROW_H
 
 #include <stdbool.h>
 #include <stdint.h>
--- a/core/limit_share.h
+++ b/core/limit_share.h
@@ -23,7 +23,7 @@
  * K is at most 4 L, so that each holder gets one token in 4 s: at a low limit
  * that is how soon an instance learns that it has ended.
  *
- * peers_sharers() tells which instances there are. An instance that counts too
+ * peers_limit_participants() tells which instances there are. An instance that counts too
  * many of them takes less, which is safe. One that is silent keeps its share,
  * as it may be cut off and still serve; what it doesn't use is lost.
  *
--- a/core/ask_budget.c
+++ b/core/probe_budget.c
@@ -1,4 +1,4 @@
-#include "core/ask_budget.h"
+#include "core/probe_budget.h"
 
 /*
  * Fraction of the allowed rate that refills the bucket. The remainder pays for
--- a/core/ask_budget.h
+++ b/core/probe_budget.h
@@ -3,8 +3,8 @@
  * token bucket on each instance holds its part of a rate per server that all
  * instances together keep to, also during load peaks.
  */
-#ifndef MP_CORE_ASK_BUDGET_H
-#define MP_CORE_ASK_BUDGET_H
+#ifndef MP_CORE_PROBE_BUDGET_H
+#define MP_CORE_PROBE_BUDGET_H
 
 #include <stdint.h>
 
--- a/member/gossip.h
+++ b/member/gossip.h
@@ -13,7 +13,7 @@
 #include "core/backend.h"
 #include "core/drain_gossip.h"
 #include "core/limit_gossip.h"
-#include "core/limit_want.h"
+#include "core/limit_borrow.h"
 #include "core/peer_load.h"
 #include "member/hubs.h"
 #include "member/peers.h"
--- a/member/peers.c
+++ b/member/peers.c
@@ -222,8 +222,8 @@
  * announced that it leaves has exited at the latest `stop_ms` later. Returns an
  * array of struct limit_instance; unref it after use.
  */
-GArray *peers_sharers(const struct peer_table *t, uint32_t stop_ms,
-		      int64_t now_ms)
+GArray *peers_limit_participants(const struct peer_table *t, uint32_t stop_ms,
+				 int64_t now_ms)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
 	struct limit_instance s = {peer_id(t->self.name), 1};
--- a/member/peers.h
+++ b/member/peers.h
@@ -93,8 +93,8 @@
 unsigned peers_count_ready(const struct peer_table *t, int64_t now_ms);
 uint64_t peers_records_era(const struct peer_table *t);
 unsigned peers_count(const struct peer_table *t, int64_t now_ms);
-GArray *peers_sharers(const struct peer_table *t, uint32_t stop_ms,
-		      int64_t now_ms);
+GArray *peers_limit_participants(const struct peer_table *t, uint32_t stop_ms,
+				 int64_t now_ms);
 GArray *peers_for_callers(const struct peer_table *t, int64_t now_ms);
 
 const struct peer *peers_pick_source(const struct peer_table *t, unsigned turn,
--- a/tests/test_backend.c
+++ b/tests/test_backend.c
@@ -131,8 +131,8 @@
 	struct servers *s = servers_new(1, 4);
 	struct backend *b = s->list[0];
 	struct limit_instance all[] = {{1, 1}};
-	struct limit_instances sharers = {all, 1};
-	struct limit_quota part = limit_quota(1, b->start_hash, &sharers);
+	struct limit_instances participants = {all, 1};
+	struct limit_quota part = limit_quota(1, b->start_hash, &participants);
 
 	b->state->limit = g_new0(struct backend_limit, 1);
 	b->state->limit->advertised =
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -27,7 +27,7 @@
 {
 	struct config_progress m = mark(version, offset, age_ms);
 
-	return config_watch_on_mark(w, &m, now_ms);
+	return config_watch_on_progress(w, &m, now_ms);
 }
 
 static struct store_position at(uint64_t offset)
@@ -279,7 +279,7 @@
 	raise_era(&w, 1);
 	assert_int_equal(receive_mark(&w, 19, 4, 10, 20100), CONFIG_NO_ACTION);
 	assert_false(config_watch_is_behind(&w));
-	assert_int_equal(config_watch_on_mark(&w, &old, 20200),
+	assert_int_equal(config_watch_on_progress(&w, &old, 20200),
 			 CONFIG_ASK_PEER);
 	assert_true(config_watch_is_behind(&w));
 	assert_int_equal(
@@ -344,14 +344,15 @@
 	assert_int_equal(applied, 2);
 	assert_true(lstr_eq(buf_lstr(&w.record), LSTR("21 b")));
 	/* Peers detect it by the record's digest. */
-	m = config_watch_mark(&w, 0, 20100);
+	m = config_watch_progress(&w, 0, 20100);
 	buf_free(&w.record);
 	init(&w, "21", 1);
 	w.pos = at(1);
-	assert_int_equal(config_watch_on_mark(&w, &m, 20100),
+	assert_int_equal(config_watch_on_progress(&w, &m, 20100),
 			 CONFIG_READ_STORE);
 	m.pos = at(0);
-	assert_int_equal(config_watch_on_mark(&w, &m, 20100), CONFIG_NO_ACTION);
+	assert_int_equal(config_watch_on_progress(&w, &m, 20100),
+			 CONFIG_NO_ACTION);
 	buf_free(&w.record);
 }
 
@@ -370,7 +371,7 @@
 	assert_int_equal(w.store.call, STORE_NO_CALL);
 	assert_int_equal(config_watch_age_ms(&w, 19999, 20000), AGE_UNKNOWN);
 	/* Nor does a peer that is still in the old era. */
-	assert_int_equal(config_watch_on_mark(&w, &old, 20000),
+	assert_int_equal(config_watch_on_progress(&w, &old, 20000),
 			 CONFIG_NO_ACTION);
 	assert_int_equal(receive_mark(&w, 5, 3, AGE_UNKNOWN, 20100),
 			 CONFIG_NO_ACTION);
--- a/tests/test_crash_ledger.c
+++ b/tests/test_crash_tracker.c
@@ -6,7 +6,7 @@
 
 #include <glib.h>
 
-#include "core/crash_ledger.h"
+#include "core/crash_tracker.h"
 
 enum { CULPRIT = 1, DECIDED_MS = 60, MINUTE_MS = 60 * 1000 };
 
--- a/tests/test_crash_watch.c
+++ b/tests/test_crash_watch.c
@@ -137,7 +137,7 @@
 	for (int i = 0; i < f->n; i++) {
 		close(f->all[i].channel.sock);
 		store_cancel(&f->all[i].watch.record.store);
-		crash_tracker_free(&f->all[i].watch.ledger);
+		crash_tracker_free(&f->all[i].watch.tracker);
 		g_array_unref(f->all[i].watch.broadcasts);
 	}
 	ev_loop_destroy(f->loop);
@@ -242,7 +242,7 @@
 
 	three_ends(f);
 	wait_for(f, VERDICT_REFUSE, SMALL);
-	crash_tracker_add_answer(&f->all[3].watch.ledger, CRASH_DIGEST,
+	crash_tracker_add_answer(&f->all[3].watch.tracker, CRASH_DIGEST,
 				 clock_ms());
 	for (int i = 0; i < f->n; i++)
 		g_array_set_size(f->all[i].watch.broadcasts, 0);
@@ -295,10 +295,12 @@
 	for (uint64_t d = 1000; d < 1200; d++)
 		report(f, 0, CRASH_NOTICE_CRASHED, d, (uint32_t)d);
 	for (int i = 0;
-	     i < 100 && !crash_tracker_find(&f->all[3].watch.ledger, 1199); i++)
+	     i < 100 && !crash_tracker_find(&f->all[3].watch.tracker, 1199);
+	     i++)
 		run_ms(f, 50);
 	for (uint64_t d = 1000; d < 1200; d++)
-		assert_non_null(crash_tracker_find(&f->all[3].watch.ledger, d));
+		assert_non_null(
+			crash_tracker_find(&f->all[3].watch.tracker, d));
 	end(f);
 }
 
--- a/tests/test_gossip.c
+++ b/tests/test_gossip.c
@@ -207,7 +207,7 @@
  * A roster of 1,000 entries in parts that fit a datagram each, and the other
  * messages about the roster.
  */
-static void test_roll_round_trip(void **state)
+static void test_roster_round_trip(void **state)
 {
 	struct peer_info self = info("e3", 77), other = info("e4", 78);
 	struct gossip_message m;
@@ -487,7 +487,7 @@
 		cmocka_unit_test(test_draining_round_trip),
 		cmocka_unit_test(test_invalid_limits_rejected),
 		cmocka_unit_test(test_grant_round_trip),
-		cmocka_unit_test(test_roll_round_trip),
+		cmocka_unit_test(test_roster_round_trip),
 		cmocka_unit_test(test_feed_fits),
 		cmocka_unit_test(test_feed_split_over_datagrams),
 	};
--- a/tests/test_limit_want.c
+++ b/tests/test_limit_borrow.c
@@ -1,7 +1,7 @@
 /* Tests of core/limit_want: when peers are asked, and which grants count. */
 #include "tests/unit.h"
 
-#include "core/limit_want.h"
+#include "core/limit_borrow.h"
 
 /* One request at a time; after a few without a grant the delay doubles. */
 static void test_backoff(void **state)
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -13,16 +13,17 @@
  * Tells the traffic thread which instances share limits: itself and `others`
  * more.
  */
-static void tell_sharers(struct bench *b, unsigned others)
+static void set_participants(struct bench *b, unsigned others)
 {
 	struct peer_view *v = g_new0(struct peer_view, 1);
 
 	v->instances = others + 1;
-	v->sharers = g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
+	v->participants =
+		g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
 	for (unsigned i = 0; i <= others; i++) {
 		struct limit_instance s = {PEER_ID - 1 + i, 1};
 
-		g_array_append_val(v->sharers, s);
+		g_array_append_val(v->participants, s);
 	}
 	assert_int_equal(mailbox_send(&b->traffic.inbox, TO_TRAFFIC_PEERS, v),
 			 0);
@@ -75,7 +76,7 @@
 {
 	struct bench *b = bench_new(2);
 
-	tell_sharers(b, 0);
+	set_participants(b, 0);
 	warm_up(b);
 	b->servers[0].limit = "1";
 	/*
@@ -91,7 +92,7 @@
 }
 
 /*
- * While the sharers are unknown this instance holds no share, so the server
+ * While the participants are unknown this instance holds no share, so the server
  * gets nothing more.
  */
 static void test_sharers_unknown(void **state)
@@ -112,7 +113,7 @@
 {
 	struct bench *b = bench_new(2);
 
-	tell_sharers(b, 0);
+	set_participants(b, 0);
 	warm_up(b);
 	b->servers[0].limit = "50";
 	call_times(b, 20);
@@ -128,7 +129,7 @@
 {
 	struct bench *b = bench_new(1);
 
-	tell_sharers(b, 0);
+	set_participants(b, 0);
 	warm_up(b);
 	b->servers[0].limit = "plenty";
 	assert_int_equal(call_times(b, 10), 10);
@@ -152,7 +153,7 @@
 	struct bench *b = bench_new(2);
 	double last = 0;
 
-	tell_sharers(b, 0);
+	set_participants(b, 0);
 	warm_up(b);
 	b->servers[0].limit = b->servers[1].limit = "1";
 	call_times(b, 30);
@@ -186,7 +187,7 @@
 	struct bench *b = bench_new(2);
 	struct limit_gossip *news = g_new0(struct limit_gossip, 1);
 
-	tell_sharers(b, 0);
+	set_participants(b, 0);
 	warm_up(b);
 	*news = (struct limit_gossip){.peer = PEER_ID, .n = 2};
 	news->items[0] = (struct limit_gossip_item){
@@ -228,7 +229,7 @@
 	struct bench *b = bench_new(2);
 	struct limit_quota before;
 
-	tell_sharers(b, 0);
+	set_participants(b, 0);
 	warm_up(b);
 	b->servers[0].limit = "1";
 	call_times(b, 40);
@@ -239,7 +240,7 @@
 	 * More instances share it by the time the server is back, so this one
 	 * holds less, or nothing.
 	 */
-	tell_sharers(b, 300);
+	set_participants(b, 300);
 	list_server(b, 0, false);
 	assert_true(backend_is_limited(backend_of(b, 0)));
 	assert_true(backend_of(b, 0)->state->limit->share.quota.rate_s <
@@ -253,7 +254,7 @@
 	struct bench *b = bench_new(2);
 	struct caller *c;
 
-	tell_sharers(b, 0);
+	set_participants(b, 0);
 	warm_up(b);
 	b->servers[0].limit = "100";
 	b->servers[1].limit = "100";
@@ -288,7 +289,7 @@
 		grant = g_new0(struct limit_borrow_msg, 1);
 		*grant = (struct limit_borrow_msg){true, PEER_ID, 0,
 						   backend_of(b, 0)->start_hash,
-						   s->want.serial - !asked};
+						   s->borrow.serial - !asked};
 		mailbox_send(&b->traffic.inbox, TO_TRAFFIC_LIMIT_CALL, grant);
 		bench_run_until(b, c);
 		assert_int_equal(c->status, asked ? 200 : 503);
@@ -318,7 +319,7 @@
 	const struct limit_share *share;
 	double before;
 
-	tell_sharers(b, 0);
+	set_participants(b, 0);
 	warm_up(b);
 	b->servers[0].limit = "20";
 	call_times(b, 1);
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -142,10 +142,10 @@
 	assert_int_equal(peers_count(&t, 90000), 1);
 }
 
-/* Returns the number of sharers, with this instance first. */
-static unsigned count_sharers(const struct peer_table *t, int64_t now)
+/* Returns the number of participants, with this instance first. */
+static unsigned count_participants(const struct peer_table *t, int64_t now)
 {
-	GArray *all = peers_sharers(t, 6000, now);
+	GArray *all = peers_limit_participants(t, 6000, now);
 	unsigned n = all->len;
 
 	assert_int_equal(g_array_index(all, struct limit_instance, 0).id,
@@ -158,7 +158,7 @@
  * A silent instance may be cut off and still serving, so it keeps its share of
  * limits; a leaving one keeps it until its grace period is over.
  */
-static void test_sharers(void **state)
+static void test_limit_participants(void **state)
 {
 	struct peer_info self = info("e3", 1), leaving_peer = info("e2", 1);
 	struct peer_table t;
@@ -167,21 +167,21 @@
 	peers_init(&t, &self);
 	receive_heartbeat(&t, "e1", 1000);
 	receive_heartbeat(&t, "e2", 1000);
-	assert_int_equal(count_sharers(&t, 1000), 3);
-	assert_int_equal(count_sharers(&t, 1000 + 3600 * 1000), 3);
-	all = peers_sharers(&t, 6000, 60000);
+	assert_int_equal(count_participants(&t, 1000), 3);
+	assert_int_equal(count_participants(&t, 1000 + 3600 * 1000), 3);
+	all = peers_limit_participants(&t, 6000, 60000);
 	assert_int_equal(g_array_index(all, struct limit_instance, 1).reachable,
 			 0);
 	g_array_unref(all);
 	leaving_peer.leaving = true;
 	peers_note_heartbeat(&t, &leaving_peer, 2000);
-	assert_int_equal(count_sharers(&t, 8900), 3);
-	assert_int_equal(count_sharers(&t, 9000), 2);
+	assert_int_equal(count_participants(&t, 8900), 3);
+	assert_int_equal(count_participants(&t, 9000), 2);
 	/* It restarts. */
 	receive_heartbeat(&t, "e2", 9500);
-	assert_int_equal(count_sharers(&t, 9500), 3);
+	assert_int_equal(count_participants(&t, 9500), 3);
 	/* Silent for longer than partitions last: presumed gone. */
-	assert_int_equal(count_sharers(&t, 9500 + 2 * 3600 * 1000), 1);
+	assert_int_equal(count_participants(&t, 9500 + 2 * 3600 * 1000), 1);
 }
 
 int main(void)
@@ -192,7 +192,7 @@
 		cmocka_unit_test(test_for_callers),
 		cmocka_unit_test(test_ready_listed_first),
 		cmocka_unit_test(test_new_peer_needs_reply),
-		cmocka_unit_test(test_sharers),
+		cmocka_unit_test(test_limit_participants),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/test_ask_budget.c
+++ b/tests/test_probe_budget.c
@@ -1,7 +1,7 @@
 /* Tests of core/ask_budget: the rate of load probes of all instances. */
 #include "tests/unit.h"
 
-#include "core/ask_budget.h"
+#include "core/probe_budget.h"
 
 enum { INSTANCES = 16, SERVERS = 31 };
 
--- a/tests/test_record_check.c
+++ b/tests/test_record_check.c
@@ -68,7 +68,7 @@
 	store_cancel(&f->check.store);
 	store_cancel(&f->crashes.record.store);
 	close(f->channel.sock);
-	crash_tracker_free(&f->crashes.ledger);
+	crash_tracker_free(&f->crashes.tracker);
 	g_array_unref(f->crashes.broadcasts);
 	scripted_store_free(f->store);
 	g_free(f);
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -369,7 +369,7 @@
 	struct bench *b = bench_new(4);
 	const struct budget_stats *a =
 		&backend_set_service(&b->traffic.backends, LSTR("harta"))
-			 ->account;
+			 ->retry_stats;
 
 	b->traffic.budget_params.ratio = 0.5;
 	b->traffic.budget_params.slack = 0;
--- a/tests/test_upstream.c
+++ b/tests/test_upstream.c
@@ -185,7 +185,7 @@
 		assert_int_equal(b->servers[first].received, 0);
 		assert_int_equal(b->traffic.counters.withdrawn, 1);
 		assert_int_equal(backend_of(b, first)->in_flight, 0);
-		assert_int_equal(budget_spent(&s->account), 0);
+		assert_int_equal(budget_spent(&s->retry_stats), 0);
 		assert_int_equal(s->budget.in_flight, 0);
 		bench_free(b);
 	}
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -86,7 +86,7 @@
 	http_client_close(&c->http);
 	b->process_ended = b->process_ended || ended;
 	log_end(b, c->digests->len, outcome, why, clock_ms() - c->since_ms);
-	t->counters.ends_seen += ended;
+	t->counters.process_ends += ended;
 	for (guint i = 0; ended && i < c->digests->len; i++)
 		report_crash(t, b, g_array_index(c->digests, uint64_t, i));
 	b->crash_check = NULL;
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -61,7 +61,7 @@
 		 s->backend->service->name, l->advertised.per_s, cause_name(s),
 		 payers[s->payer], s->sent_ms - l->advertised.since_ms,
 		 t->lifetime, s->sent_ms - t->started_ms,
-		 t->peers.sharers ? t->peers.sharers->len : 0,
+		 t->peers.participants ? t->peers.participants->len : 0,
 		 l->share.quota.rate_s, l->share.tokens, l->share.in_flight);
 }
 
@@ -103,7 +103,7 @@
 int64_t limit_sends_request_grant(struct traffic *t, struct service *s,
 				  int64_t now_ms)
 {
-	struct limit_borrow *w = &s->want;
+	struct limit_borrow *w = &s->borrow;
 	struct limit_borrow_msg call = {.to = w->lender,
 					.resource = g_str_hash(s->name)};
 
@@ -189,8 +189,8 @@
 	int64_t now_ms = clock_ms();
 
 	if (!b || !backend_is_limited(b) ||
-	    !limit_borrow_accept(&b->service->want, grant->serial, grant->from,
-				 now_ms))
+	    !limit_borrow_accept(&b->service->borrow, grant->serial,
+				 grant->from, now_ms))
 		return;
 	t->counters.limits_granted++;
 	b->state->limit->borrowed_until_ms = limit_grant_expiry_ms(now_ms);
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -73,16 +73,16 @@
 /* Recomputes this instance's share of b's limit. */
 static void update_share(struct traffic *t, struct backend *b)
 {
-	const GArray *known = t->peers.sharers;
-	struct limit_instances sharers = {.n = 0};
+	const GArray *known = t->peers.participants;
+	struct limit_instances participants = {.n = 0};
 	struct limit_quota part;
 
 	if (known)
-		sharers = (struct limit_instances){
+		participants = (struct limit_instances){
 			(const struct limit_instance *)(void *)known->data,
 			known->len};
 	part = limit_quota(b->state->limit->advertised.per_s, b->start_hash,
-			   &sharers);
+			   &participants);
 	limit_share_set_quota(&b->state->limit->share, &part, clock_ms());
 }
 
@@ -142,7 +142,7 @@
 }
 
 /* Passes news to the control thread, which sends them to peers. */
-static void send_news(struct traffic *t, const struct limit_gossip *news)
+static void send_updates(struct traffic *t, const struct limit_gossip *news)
 {
 	struct limit_gossip *copy = g_memdup2(news, sizeof(*news));
 
@@ -187,18 +187,18 @@
 }
 
 /*
- * Applies what a response of b, to a request sent at asked_ms, says about its
+ * Applies what a response of b, to a request sent at request_sent_ms, says about its
  * limit. Changes are sent to the peers at once.
  */
 void limits_response(struct traffic *t, struct backend *b,
-		     const struct answer_info *info, int64_t asked_ms,
+		     const struct answer_info *info, int64_t request_sent_ms,
 		     enum limit_source source)
 {
 	struct limit_gossip news = {.n = 0};
 	struct limit_report w = {
 		.limited = info->limit == LIMIT_NAMED,
 		.per_s = info->limit_per_s,
-		.sent_ms = asked_ms,
+		.sent_ms = request_sent_ms,
 		.received_ms = clock_ms(),
 		.source = source,
 	};
@@ -219,7 +219,7 @@
 			w.received_ms + END_RESEND_MS;
 	}
 	add_item(&news, b, w.received_ms);
-	send_news(t, &news);
+	send_updates(t, &news);
 }
 
 /* Returns the backend server with this start hash, or NULL. */
@@ -269,7 +269,7 @@
  */
 static bool hears_majority(const struct traffic *t)
 {
-	const GArray *known = t->peers.sharers;
+	const GArray *known = t->peers.participants;
 	guint heard = 0;
 
 	for (guint i = 0; known && i < known->len; i++)
@@ -297,9 +297,10 @@
 	if (l->next_probe_ms == 0)
 		l->next_probe_ms =
 			now_ms +
-			g_rand_int_range(t->rand, 0,
-					 PROBE_SPREAD_MS *
-						 (int)t->peers.sharers->len);
+			g_rand_int_range(
+				t->rand, 0,
+				PROBE_SPREAD_MS *
+					(int)t->peers.participants->len);
 	if (now_ms < l->next_probe_ms)
 		return;
 	l->next_probe_ms = now_ms + PROBE_RETRY_MS;
@@ -352,7 +353,7 @@
 		add_item(&news, b, now_ms);
 	}
 	if (news.n)
-		send_news(t, &news);
+		send_updates(t, &news);
 	if (any)
 		start_timer(t, TICK_MS);
 }
--- a/traffic/limits.h
+++ b/traffic/limits.h
@@ -11,7 +11,7 @@
 void limits_init(struct traffic *t);
 struct backend *limits_find(struct traffic *t, uint32_t start);
 void limits_response(struct traffic *t, struct backend *b,
-		     const struct answer_info *info, int64_t asked_ms,
+		     const struct answer_info *info, int64_t request_sent_ms,
 		     enum limit_source source);
 void limits_peer_update(struct traffic *t, const struct limit_gossip *news);
 void limits_peers_changed(struct traffic *t);
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -76,7 +76,7 @@
  */
 static void write_account(struct buf *out, const struct service *s)
 {
-	const struct budget_stats *a = &s->account;
+	const struct budget_stats *a = &s->retry_stats;
 
 	buf_printf(out,
 		   "service_requests{service=\"%s\"} %" G_GUINT64_FORMAT "\n",
@@ -152,7 +152,8 @@
 	buf_printf(out, "foreign_answers %" G_GUINT64_FORMAT "\n",
 		   n->foreign_answers);
 	buf_printf(out, "end_checks %" G_GUINT64_FORMAT "\n", n->end_checks);
-	buf_printf(out, "backend_ends %" G_GUINT64_FORMAT "\n", n->ends_seen);
+	buf_printf(out, "backend_ends %" G_GUINT64_FORMAT "\n",
+		   n->process_ends);
 	buf_printf(out, "limits_bad %" G_GUINT64_FORMAT "\n", n->limits_bad);
 	buf_printf(out, "limits_given %" G_GUINT64_FORMAT "\n",
 		   n->limits_given);
@@ -166,7 +167,7 @@
 	buf_printf(out, "quarantined %" G_GUINT64_FORMAT "\n", n->quarantined);
 	buf_printf(out, "verdicts %u\n",
 		   g_hash_table_size(t->quarantine.verdicts));
-	buf_printf(out, "no_room %" G_GUINT64_FORMAT "\n", n->no_room);
+	buf_printf(out, "no_room %" G_GUINT64_FORMAT "\n", n->no_capacity);
 	buf_printf(out, "no_config %" G_GUINT64_FORMAT "\n", n->no_config);
 	buf_printf(out, "no_route %" G_GUINT64_FORMAT "\n", n->no_route);
 	buf_printf(out, "directory_answers %" G_GUINT64_FORMAT "\n",
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -254,7 +254,7 @@
 	if (r->nsends == 0 || budget_allows(&r->service->budget,
 					    &t->budget_params, clock_boot_ms()))
 		return true;
-	r->service->account.denied[request_extra_cause(r)]++;
+	r->service->retry_stats.denied[request_extra_cause(r)]++;
 	return false;
 }
 
@@ -424,7 +424,7 @@
 	r->stats->requests++;
 	budget_add_request(&r->service->budget, &t->budget_params,
 			   clock_boot_ms());
-	r->service->account.requests++;
+	r->service->retry_stats.requests++;
 	http_conn_set_user(c, r);
 	request_select(r, SELECT_FIRST);
 }
--- a/traffic/request_log.c
+++ b/traffic/request_log.c
@@ -99,8 +99,8 @@
 		 "instances=%u",
 		 (int)r->call.id.len, r->call.id.ptr, r->digest, s->name,
 		 extra_cause_name(cause), t->lifetime, now_ms - t->started_ms,
-		 s->account.requests, budget_spent(&s->account), w.requests,
-		 w.spent, w.left, t->peers.instances);
+		 s->retry_stats.requests, budget_spent(&s->retry_stats),
+		 w.requests, w.spent, w.left, t->peers.instances);
 }
 
 /*
--- a/traffic/request_queue.c
+++ b/traffic/request_queue.c
@@ -68,7 +68,7 @@
 {
 	bool only_copy = !request_is_in_flight(r);
 
-	r->traffic->counters.no_room++;
+	r->traffic->counters.no_capacity++;
 	request_select_end(r);
 	if (!only_copy)
 		request_arm_timer(r);
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -184,7 +184,7 @@
 	r->maybe_executed--;
 	r->stats->sends--;
 	if (s->extra)
-		r->service->account.spent[s->cause]--;
+		r->service->retry_stats.spent[s->cause]--;
 	if (last) {
 		backend_unref(s->backend);
 		r->nsends--;
@@ -239,7 +239,7 @@
 	if (r->nsends == 1)
 		return;
 	budget_spend(&r->service->budget);
-	r->service->account.spent[cause]++;
+	r->service->retry_stats.spent[cause]++;
 	request_log_extra(r, cause, now_ms);
 	if (cause != EXTRA_RETRY)
 		r->stats->hedges++;
--- a/traffic/traffic.c
+++ b/traffic/traffic.c
@@ -273,8 +273,8 @@
 {
 	if (t->peers.named)
 		g_array_unref(t->peers.named);
-	if (t->peers.sharers)
-		g_array_unref(t->peers.sharers);
+	if (t->peers.participants)
+		g_array_unref(t->peers.participants);
 	t->peers = *v;
 	if (v->instances > t->max_instances)
 		t->max_instances = v->instances;
--- a/traffic/traffic.h
+++ b/traffic/traffic.h
@@ -9,7 +9,7 @@
 
 #include "control/control.h"
 #include "core/admit.h"
-#include "core/ask_budget.h"
+#include "core/probe_budget.h"
 #include "core/backend.h"
 #include "core/config.h"
 #include "core/dedup.h"
@@ -31,8 +31,8 @@
 
 struct traffic_counters {
 	uint64_t probes, probe_failures, foreign_answers, no_config, no_route;
-	uint64_t no_room, directory_answers;
-	uint64_t end_checks, ends_seen, quarantined;
+	uint64_t no_capacity, directory_answers;
+	uint64_t end_checks, process_ends, quarantined;
 	uint64_t limits_bad;		       /* invalid limit values */
 	uint64_t limits_given, limits_granted; /* sends, to and by peers */
 	uint64_t backoffs;		       /* requested by servers */
