--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -291,9 +291,9 @@
 	/*
 	 * After a change of era, the polling instances get time to read first.
 	 */
-	int64_t heard_ms = MAX(w->peer_confirmed_ms, w->era_ms);
+	int64_t confirmed_ms = MAX(w->peer_confirmed_ms, w->era_ms);
 
-	w->polls = may_poll && (first || now_ms - heard_ms > silence_ms);
+	w->polls = may_poll && (first || now_ms - confirmed_ms > silence_ms);
 	if (w->polls && is_idle(w))
 		send_read(w);
 }
--- a/control/control.c
+++ b/control/control.c
@@ -336,11 +336,11 @@
 }
 
 /* Handles verdicts read from the store. */
-static void on_stored_verdicts(void *priv, const GArray *news)
+static void on_stored_verdicts(void *priv, const GArray *notices)
 {
 	struct control *c = priv;
 
-	crash_watch_add_stored(&c->crashes, news);
+	crash_watch_add_stored(&c->crashes, notices);
 }
 
 /* Continues the startup now that the number of members is known. */
--- a/control/crash_record.c
+++ b/control/crash_record.c
@@ -12,14 +12,14 @@
  * request was answered.
  */
 void crash_record_batch(struct buf *batch, const struct peer_info *self,
-			const struct crash_notice *news)
+			const struct crash_notice *notice)
 {
 	struct buf value = {0};
 	char key[32];
 
-	g_snprintf(key, sizeof(key), "quarantine-%016" PRIx64, news->digest);
-	if (news->kind == CRASH_NOTICE_QUARANTINE)
-		gossip_write_crashes(&value, self, news, 1);
+	g_snprintf(key, sizeof(key), "quarantine-%016" PRIx64, notice->digest);
+	if (notice->kind == CRASH_NOTICE_QUARANTINE)
+		gossip_write_crashes(&value, self, notice, 1);
 	store_batch_add(batch, lstr0(key), buf_lstr(&value));
 	buf_free(&value);
 }
@@ -27,12 +27,12 @@
 /* Writes the first pending record. */
 static void next_call(struct crash_record *r)
 {
-	const struct crash_notice *news = g_queue_peek_head(&r->pending);
+	const struct crash_notice *notice = g_queue_peek_head(&r->pending);
 	struct buf batch = {0};
 
-	if (!news)
+	if (!notice)
 		return;
-	crash_record_batch(&batch, r->self, news);
+	crash_record_batch(&batch, r->self, notice);
 	store_append_batch(&r->store, STORE_TOPIC_MEMBERS, buf_lstr(&batch),
 			   NULL);
 	buf_free(&batch);
@@ -79,9 +79,9 @@
 bool crash_record_is_pending(const struct crash_record *r, uint64_t digest)
 {
 	for (const GList *l = r->pending.head; l; l = l->next) {
-		const struct crash_notice *news = l->data;
+		const struct crash_notice *notice = l->data;
 
-		if (news->digest == digest)
+		if (notice->digest == digest)
 			return true;
 	}
 	return false;
@@ -91,11 +91,11 @@
  * crash_record_put() queues the write of a verdict, or its deletion if the
  * request was answered.
  */
-void crash_record_put(struct crash_record *r, const struct crash_notice *news)
+void crash_record_put(struct crash_record *r, const struct crash_notice *notice)
 {
 	bool idle = g_queue_is_empty(&r->pending);
 
-	g_queue_push_tail(&r->pending, g_memdup2(news, sizeof(*news)));
+	g_queue_push_tail(&r->pending, g_memdup2(notice, sizeof(*notice)));
 	if (idle)
 		call_later(r, 0);
 }
--- a/control/crash_record.h
+++ b/control/crash_record.h
@@ -25,8 +25,9 @@
 			struct store_endpoint *store,
 			const struct peer_info *self);
 void crash_record_batch(struct buf *batch, const struct peer_info *self,
-			const struct crash_notice *news);
+			const struct crash_notice *notice);
 bool crash_record_is_pending(const struct crash_record *r, uint64_t digest);
-void crash_record_put(struct crash_record *r, const struct crash_notice *news);
+void crash_record_put(struct crash_record *r,
+		      const struct crash_notice *notice);
 
 #endif
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -81,14 +81,15 @@
 }
 
 /* Sends one datagram of news to all live peers or to the hubs. */
-static void send_updates(struct crash_watch *w, const struct crash_notice *news,
-			 unsigned n, bool to_all, int64_t now_ms)
+static void send_updates(struct crash_watch *w,
+			 const struct crash_notice *notices, unsigned n,
+			 bool to_all, int64_t now_ms)
 {
 	struct buf b = {0};
 
 	if (!n)
 		return;
-	gossip_write_crashes(&b, &w->channel->peers.self, news, n);
+	gossip_write_crashes(&b, &w->channel->peers.self, notices, n);
 	if (to_all)
 		peer_channel_send_live(w->channel, &b, now_ms);
 	else
@@ -99,7 +100,7 @@
 /* Sends the due broadcasts that go to all, or those that go to the hubs. */
 static void send_due(struct crash_watch *w, bool to_all, int64_t now_ms)
 {
-	struct crash_notice news[CRASH_NOTICES_MAX];
+	struct crash_notice notices[CRASH_NOTICES_MAX];
 	unsigned n = 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
@@ -108,13 +109,13 @@
 
 		if (t->next_ms > now_ms || goes_to_all(w, t) != to_all)
 			continue;
-		news[n++] = t->notice;
+		notices[n++] = t->notice;
 		if (n < CRASH_NOTICES_MAX)
 			continue;
-		send_updates(w, news, n, to_all, now_ms);
+		send_updates(w, notices, n, to_all, now_ms);
 		n = 0;
 	}
-	send_updates(w, news, n, to_all, now_ms);
+	send_updates(w, notices, n, to_all, now_ms);
 }
 
 /* Schedules the next repetition of the broadcasts that were sent. */
@@ -194,10 +195,10 @@
 
 /* Schedules a repeated broadcast; it is sent from the event loop. */
 static void add_broadcast(struct crash_watch *w,
-			  const struct crash_notice *news, unsigned times)
+			  const struct crash_notice *notice, unsigned times)
 {
 	int64_t now_ms = clock_ms();
-	struct broadcast t = {.notice = *news,
+	struct broadcast t = {.notice = *notice,
 			      .sends_left = times,
 			      .next_ms = now_ms,
 			      .interval_ms = times > EVIDENCE_SENDS
@@ -223,16 +224,16 @@
  */
 static void announce(struct crash_watch *w, const struct crash_case *c)
 {
-	struct crash_notice news = verdict_notice(c);
+	struct crash_notice notice = verdict_notice(c);
 
 	if (c->periods > 1 || w->rank >= HUB_COUNT)
 		return;
 	if (!w->from_store)
-		crash_record_put(&w->record, &news);
+		crash_record_put(&w->record, &notice);
 	if (w->source)
 		return;
 	cancel_broadcasts(w, c->digest);
-	add_broadcast(w, &news, VERDICT_SENDS);
+	add_broadcast(w, &notice, VERDICT_SENDS);
 }
 
 /*
@@ -242,12 +243,12 @@
 static void drop_record(struct crash_watch *w, const struct crash_case *c,
 			enum crash_change change)
 {
-	struct crash_notice news = {CRASH_NOTICE_ANSWERED, c->digest, 0};
+	struct crash_notice notice = {CRASH_NOTICE_ANSWERED, c->digest, 0};
 	bool writer = change == CRASH_RELEASED ? !w->source : w->rank == 0;
 
 	if (c->quarantined &&
 	    (writer || crash_record_is_pending(&w->record, c->digest)))
-		crash_record_put(&w->record, &news);
+		crash_record_put(&w->record, &notice);
 }
 
 /* Handles a change of a case in the tracker. */
@@ -265,31 +266,31 @@
 }
 
 /* An answer matters only for a request that has a case. */
-static void apply_answer(struct crash_watch *w, const struct crash_notice *news,
-			 int64_t now_ms)
+static void apply_answer(struct crash_watch *w,
+			 const struct crash_notice *notice, int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_tracker_find(&w->tracker, news->digest);
+		crash_tracker_find(&w->tracker, notice->digest);
 	bool verdict = c && c->quarantined;
 
 	if (!c)
 		return;
-	cancel_broadcasts(w, news->digest);
+	cancel_broadcasts(w, notice->digest);
 	/*
 	 * In a large system the hubs forward answers that end their verdicts.
 	 */
 	if (!w->source || (verdict && w->large && w->rank < HUB_COUNT))
-		add_broadcast(w, news,
+		add_broadcast(w, notice,
 			      verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
-	crash_tracker_add_answer(&w->tracker, news->digest, now_ms);
+	crash_tracker_add_answer(&w->tracker, notice->digest, now_ms);
 }
 
 /* An instance that reports another end doesn't know the verdict yet. */
-static void apply_end(struct crash_watch *w, const struct crash_notice *news,
+static void apply_end(struct crash_watch *w, const struct crash_notice *notice,
 		      int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_tracker_find(&w->tracker, news->digest);
+		crash_tracker_find(&w->tracker, notice->digest);
 	struct crash_notice verdict;
 
 	if (c && c->quarantined && w->source && w->rank < HUB_COUNT) {
@@ -297,26 +298,26 @@
 		add_broadcast(w, &verdict, 1);
 	}
 	if (!w->source)
-		add_broadcast(w, news, EVIDENCE_SENDS);
-	crash_tracker_add_crash(&w->tracker, news->digest, news->detail,
+		add_broadcast(w, notice, EVIDENCE_SENDS);
+	crash_tracker_add_crash(&w->tracker, notice->digest, notice->detail,
 				now_ms);
 }
 
 /* Applies one item of news to the tracker. */
-static void apply(struct crash_watch *w, const struct crash_notice *news)
+static void apply(struct crash_watch *w, const struct crash_notice *notice)
 {
 	int64_t now_ms = clock_ms();
 
-	switch (news->kind) {
+	switch (notice->kind) {
 	case CRASH_NOTICE_CRASHED:
-		apply_end(w, news, now_ms);
+		apply_end(w, notice, now_ms);
 		break;
 	case CRASH_NOTICE_ANSWERED:
-		apply_answer(w, news, now_ms);
+		apply_answer(w, notice, now_ms);
 		break;
 	case CRASH_NOTICE_QUARANTINE:
-		crash_tracker_quarantine(&w->tracker, news->digest,
-					 news->detail, now_ms);
+		crash_tracker_quarantine(&w->tracker, notice->digest,
+					 notice->detail, now_ms);
 		break;
 	}
 	arm(w, now_ms);
@@ -324,34 +325,34 @@
 
 /* crash_watch_add_local() handles news from this instance's own traffic. */
 void crash_watch_add_local(struct crash_watch *w,
-			   const struct crash_notice *news)
+			   const struct crash_notice *notice)
 {
 	w->source = NULL;
-	apply(w, news);
+	apply(w, notice);
 }
 
 /* Applies the news of another instance or of the store. */
 static void apply_all(struct crash_watch *w, const char *source,
-		      const GArray *news)
+		      const GArray *notices)
 {
 	w->source = source;
-	for (guint i = 0; i < news->len; i++)
-		apply(w, &g_array_index(news, struct crash_notice, i));
+	for (guint i = 0; i < notices->len; i++)
+		apply(w, &g_array_index(notices, struct crash_notice, i));
 	w->source = NULL;
 }
 
 /* crash_watch_add_peer() handles news from a peer. */
 void crash_watch_add_peer(struct crash_watch *w, const char *source,
-			  const GArray *news)
+			  const GArray *notices)
 {
-	apply_all(w, source, news);
+	apply_all(w, source, notices);
 }
 
 /* crash_watch_add_stored() handles verdicts read from the store. */
-void crash_watch_add_stored(struct crash_watch *w, const GArray *news)
+void crash_watch_add_stored(struct crash_watch *w, const GArray *notices)
 {
 	w->from_store = true;
-	apply_all(w, "store", news);
+	apply_all(w, "store", notices);
 	w->from_store = false;
 }
 
@@ -369,10 +370,10 @@
 	g_hash_table_iter_init(&it, w->tracker.cases);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct crash_case *c = v;
-		struct crash_notice news = verdict_notice(c);
+		struct crash_notice notice = verdict_notice(c);
 
 		if (c->quarantined)
-			g_array_append_val(verdicts, news);
+			g_array_append_val(verdicts, notice);
 	}
 	return verdicts;
 }
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -39,10 +39,10 @@
 		       void (*verdict)(void *priv, const struct verdict *v),
 		       void *priv);
 void crash_watch_add_local(struct crash_watch *w,
-			   const struct crash_notice *news);
+			   const struct crash_notice *notice);
 void crash_watch_add_peer(struct crash_watch *w, const char *source,
-			  const GArray *news);
-void crash_watch_add_stored(struct crash_watch *w, const GArray *news);
+			  const GArray *notices);
+void crash_watch_add_stored(struct crash_watch *w, const GArray *notices);
 GArray *crash_watch_verdicts(const struct crash_watch *w);
 void crash_watch_tick(struct crash_watch *w, unsigned rank, bool large);
 
--- a/control/member_record.c
+++ b/control/member_record.c
@@ -95,7 +95,7 @@
 void member_record_start(struct member_record *m, struct ev_loop *loop,
 			 struct store_endpoint *store, struct peer_table *peers,
 			 void (*on_members)(void *priv),
-			 void (*on_verdicts)(void *priv, const GArray *news),
+			 void (*on_verdicts)(void *priv, const GArray *notices),
 			 void *priv)
 {
 	memset(m, 0, sizeof(*m));
--- a/control/member_record.h
+++ b/control/member_record.h
@@ -16,7 +16,7 @@
 	struct store_channel store;
 	ev_timer retry;
 	void (*on_members)(void *priv); /* the members' records were read */
-	void (*on_verdicts)(void *priv, const GArray *news);
+	void (*on_verdicts)(void *priv, const GArray *notices);
 	void *priv;
 	struct peer_table *peers;
 	bool written, listed;
@@ -27,7 +27,7 @@
 void member_record_start(struct member_record *m, struct ev_loop *loop,
 			 struct store_endpoint *store, struct peer_table *peers,
 			 void (*on_members)(void *priv),
-			 void (*on_verdicts)(void *priv, const GArray *news),
+			 void (*on_verdicts)(void *priv, const GArray *notices),
 			 void *priv);
 
 #endif
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -246,14 +246,14 @@
 static void reply_member_info(struct peer_channel *ch,
 			      const struct gossip_message *m, int64_t now_ms)
 {
-	struct peer *asker = peers_find(&ch->peers, m->sender.name);
+	struct peer *requester = peers_find(&ch->peers, m->sender.name);
 	const struct peer *p = hubs_find_peer(&ch->peers, m->info_id);
 	struct buf b = {0};
 
-	if (!asker || !p)
+	if (!requester || !p)
 		return;
 	gossip_write_info(&b, &ch->peers.self, &p->info);
-	send_datagram(ch, &b, asker, now_ms);
+	send_datagram(ch, &b, requester, now_ms);
 	buf_free(&b);
 }
 
--- a/control/record_check.c
+++ b/control/record_check.c
@@ -93,13 +93,13 @@
 	unsigned n = 0;
 
 	for (guint i = 0; i < verdicts_here->len; i++) {
-		const struct crash_notice *news =
+		const struct crash_notice *notice =
 			&g_array_index(verdicts_here, struct crash_notice, i);
 
-		if (contains(r->verdicts, news->digest) ||
+		if (contains(r->verdicts, notice->digest) ||
 		    batch->len > BATCH_MAX)
 			continue;
-		crash_record_batch(batch, &r->peers->self, news);
+		crash_record_batch(batch, &r->peers->self, notice);
 		n++;
 	}
 	return n;
@@ -116,14 +116,14 @@
 	unsigned n = 0;
 
 	for (guint i = 0; i < r->verdicts->len; i++) {
-		struct crash_notice news =
+		struct crash_notice notice =
 			g_array_index(r->verdicts, struct crash_notice, i);
 
-		if (contains(verdicts_here, news.digest) ||
+		if (contains(verdicts_here, notice.digest) ||
 		    batch->len > BATCH_MAX)
 			continue;
-		news.kind = CRASH_NOTICE_ANSWERED;
-		crash_record_batch(batch, &r->peers->self, &news);
+		notice.kind = CRASH_NOTICE_ANSWERED;
+		crash_record_batch(batch, &r->peers->self, &notice);
 		n++;
 	}
 	return n;
--- a/control/removed_servers.h
+++ b/control/removed_servers.h
@@ -27,7 +27,7 @@
 unsigned removed_servers_count(const struct removed_servers *s,
 			       const char *service, int64_t since_ms);
 enum entry_status removed_servers_classify(const struct removed_servers *s,
-					   const struct backend_entry *said,
+					   const struct backend_entry *e,
 					   struct store_position pos,
 					   int64_t now_ms);
 
--- a/core/retry_after.c
+++ b/core/retry_after.c
@@ -56,16 +56,16 @@
  * these servers.
  */
 double retry_after_turn_s(int64_t *last_turn_ms,
-			  const struct limit_capacity *room, unsigned waiting,
-			  int64_t left_ms, int64_t now_ms)
+			  const struct limit_capacity *capacity,
+			  unsigned waiting, int64_t left_ms, int64_t now_ms)
 {
 	int64_t at;
 
-	if (!room->all_limited || room->rate_s <= 0)
+	if (!capacity->all_limited || capacity->rate_s <= 0)
 		return 0;
-	at = now_ms + (int64_t)limit_capacity_wait_ms(room, waiting);
-	if (at < *last_turn_ms + (int64_t)(1000 / room->rate_s))
-		at = *last_turn_ms + (int64_t)(1000 / room->rate_s);
+	at = now_ms + (int64_t)limit_capacity_wait_ms(capacity, waiting);
+	if (at < *last_turn_ms + (int64_t)(1000 / capacity->rate_s))
+		at = *last_turn_ms + (int64_t)(1000 / capacity->rate_s);
 	if (at - now_ms < left_ms)
 		*last_turn_ms = at;
 	return (double)(at - now_ms) / 1000;
--- a/member/gossip.c
+++ b/member/gossip.c
@@ -300,7 +300,7 @@
 
 /* Writes `n` notices, at most CRASH_NOTICES_MAX. */
 void gossip_write_crashes(struct buf *out, const struct peer_info *self,
-			  const struct crash_notice *news, unsigned n)
+			  const struct crash_notice *notices, unsigned n)
 {
 	msgpack_packer pk;
 
@@ -308,9 +308,9 @@
 	pack_sender(&pk, GOSSIP_CRASHES, self);
 	msgpack_pack_array(&pk, CRASH_FIELDS * (size_t)n);
 	for (unsigned i = 0; i < n; i++) {
-		msgpack_pack_int(&pk, news[i].kind);
-		msgpack_pack_uint64(&pk, news[i].digest);
-		msgpack_pack_uint32(&pk, news[i].detail);
+		msgpack_pack_int(&pk, notices[i].kind);
+		msgpack_pack_uint64(&pk, notices[i].digest);
+		msgpack_pack_uint32(&pk, notices[i].detail);
 	}
 }
 
@@ -318,17 +318,17 @@
  * Writes the limits that backend servers have set. Sent to all peers for as
  * long as servers are limited, so the sender is an id only.
  */
-void gossip_write_limits(struct buf *out, const struct limit_gossip *news)
+void gossip_write_limits(struct buf *out, const struct limit_gossip *update)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_array(&pk, 3);
 	msgpack_pack_int(&pk, GOSSIP_LIMITS);
-	msgpack_pack_uint32(&pk, news->peer);
-	msgpack_pack_array(&pk, LIMIT_FIELDS * (size_t)news->n);
-	for (unsigned i = 0; i < news->n; i++) {
-		const struct limit_gossip_item *it = &news->items[i];
+	msgpack_pack_uint32(&pk, update->peer);
+	msgpack_pack_array(&pk, LIMIT_FIELDS * (size_t)update->n);
+	for (unsigned i = 0; i < update->n; i++) {
+		const struct limit_gossip_item *it = &update->items[i];
 
 		msgpack_pack_uint32(&pk, it->backend);
 		msgpack_pack_uint8(&pk, it->limited);
@@ -339,18 +339,18 @@
 }
 
 /* Writes which backend servers have announced that they drain. */
-void gossip_write_drain(struct buf *out, const struct drain_gossip *news)
+void gossip_write_drain(struct buf *out, const struct drain_gossip *update)
 {
 	msgpack_packer pk;
 
 	msgpack_packer_init(&pk, out, codec_buf_write);
 	msgpack_pack_array(&pk, 3);
 	msgpack_pack_int(&pk, GOSSIP_DRAINING);
-	msgpack_pack_uint32(&pk, news->peer);
-	msgpack_pack_array(&pk, DRAIN_FIELDS * (size_t)news->n);
-	for (unsigned i = 0; i < news->n; i++) {
-		codec_pack_cstr(&pk, news->items[i].id);
-		msgpack_pack_uint64(&pk, news->items[i].server_start_ms);
+	msgpack_pack_uint32(&pk, update->peer);
+	msgpack_pack_array(&pk, DRAIN_FIELDS * (size_t)update->n);
+	for (unsigned i = 0; i < update->n; i++) {
+		codec_pack_cstr(&pk, update->items[i].id);
+		msgpack_pack_uint64(&pk, update->items[i].server_start_ms);
 	}
 }
 
--- a/member/gossip.h
+++ b/member/gossip.h
@@ -125,9 +125,9 @@
 void gossip_write_info(struct buf *out, const struct peer_info *self,
 		       const struct peer_info *person);
 void gossip_write_crashes(struct buf *out, const struct peer_info *self,
-			  const struct crash_notice *news, unsigned n);
-void gossip_write_limits(struct buf *out, const struct limit_gossip *news);
-void gossip_write_drain(struct buf *out, const struct drain_gossip *news);
+			  const struct crash_notice *notices, unsigned n);
+void gossip_write_limits(struct buf *out, const struct limit_gossip *update);
+void gossip_write_drain(struct buf *out, const struct drain_gossip *update);
 void gossip_write_grant(struct buf *out, const struct limit_borrow_msg *call);
 bool gossip_has_sender_info(const struct gossip_message *m);
 int gossip_read(struct lstr bytes, struct gossip_message *m);
--- a/member/gossip_read.c
+++ b/member/gossip_read.c
@@ -225,12 +225,12 @@
 	return !c.bad;
 }
 
-static bool read_limits(const msgpack_object *o, struct limit_gossip *news)
+static bool read_limits(const msgpack_object *o, struct limit_gossip *update)
 {
 	struct cursor c = cursor_of(o);
 
-	while (!c.bad && c.at < c.end && news->n < LIMIT_GOSSIP_MAX) {
-		struct limit_gossip_item *it = &news->items[news->n++];
+	while (!c.bad && c.at < c.end && update->n < LIMIT_GOSSIP_MAX) {
+		struct limit_gossip_item *it = &update->items[update->n++];
 
 		it->backend = (uint32_t)next_uint(&c);
 		it->limited = next_uint(&c) != 0;
@@ -241,12 +241,12 @@
 	return !c.bad;
 }
 
-static bool read_draining(const msgpack_object *o, struct drain_gossip *news)
+static bool read_draining(const msgpack_object *o, struct drain_gossip *update)
 {
 	struct cursor c = cursor_of(o);
 
-	while (!c.bad && c.at < c.end && news->n < DRAIN_GOSSIP_MAX) {
-		struct drain_gossip_item *it = &news->items[news->n++];
+	while (!c.bad && c.at < c.end && update->n < DRAIN_GOSSIP_MAX) {
+		struct drain_gossip_item *it = &update->items[update->n++];
 
 		next_string(&c, it->id, sizeof(it->id));
 		it->server_start_ms = next_uint(&c);
--- a/traffic/drain_gossip.c
+++ b/traffic/drain_gossip.c
@@ -39,7 +39,7 @@
 /* Sends the announcements that are due. Returns whether more will follow. */
 static bool send_due(struct traffic *t, int64_t now_ms)
 {
-	struct drain_gossip news = {.n = 0};
+	struct drain_gossip update = {.n = 0};
 	struct drain_gossip *copy;
 	bool more = false;
 	GHashTableIter it;
@@ -52,21 +52,21 @@
 
 		if (!s->drain_publishes_left)
 			continue;
-		if (news.n == DRAIN_GOSSIP_MAX ||
+		if (update.n == DRAIN_GOSSIP_MAX ||
 		    now_ms < s->next_drain_publish_ms) {
 			more = true;
 			continue;
 		}
-		item = &news.items[news.n++];
+		item = &update.items[update.n++];
 		g_strlcpy(item->id, s->id, sizeof(item->id));
 		item->server_start_ms = s->server_start_ms;
 		s->drain_publishes_left--;
 		s->next_drain_publish_ms = now_ms + RESEND_MS;
 		more = more || s->drain_publishes_left;
 	}
-	if (!news.n)
+	if (!update.n)
 		return more;
-	copy = g_memdup2(&news, sizeof(news));
+	copy = g_memdup2(&update, sizeof(update));
 	/* If the queue is full it is lost, as a datagram may be. */
 	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_DRAIN, copy))
 		g_free(copy);
@@ -104,10 +104,10 @@
 }
 
 /* Handles announcements that a peer has passed on. */
-void drain_gossip_received(struct traffic *t, const struct drain_gossip *news)
+void drain_gossip_received(struct traffic *t, const struct drain_gossip *update)
 {
-	for (unsigned i = 0; i < news->n; i++) {
-		const struct drain_gossip_item *it = &news->items[i];
+	for (unsigned i = 0; i < update->n; i++) {
+		const struct drain_gossip_item *it = &update->items[i];
 		struct server_state *s = server_state_get(
 			&t->backends.states, it->id, it->server_start_ms);
 		const struct backend *b =
--- a/traffic/drain_gossip.h
+++ b/traffic/drain_gossip.h
@@ -9,7 +9,8 @@
 
 void drain_gossip_init(struct traffic *t);
 void drain_gossip_announced(struct traffic *t, struct backend *b);
-void drain_gossip_received(struct traffic *t, const struct drain_gossip *news);
+void drain_gossip_received(struct traffic *t,
+			   const struct drain_gossip *update);
 void drain_gossip_peers_changed(struct traffic *t);
 
 #endif
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -142,9 +142,9 @@
 }
 
 /* Passes news to the control thread, which sends them to peers. */
-static void send_updates(struct traffic *t, const struct limit_gossip *news)
+static void send_updates(struct traffic *t, const struct limit_gossip *update)
 {
-	struct limit_gossip *copy = g_memdup2(news, sizeof(*news));
+	struct limit_gossip *copy = g_memdup2(update, sizeof(*update));
 
 	/* If the queue is full it is lost, as a datagram may be. */
 	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_LIMITS, copy))
@@ -172,12 +172,12 @@
 }
 
 /* Appends the state of b's limit. */
-static void add_item(struct limit_gossip *news, const struct backend *b,
+static void add_item(struct limit_gossip *update, const struct backend *b,
 		     int64_t now_ms)
 {
 	const struct server_limit *l = &b->state->limit->advertised;
 
-	news->items[news->n++] = (struct limit_gossip_item){
+	update->items[update->n++] = (struct limit_gossip_item){
 		.backend = b->start_hash,
 		.limited = l->limited,
 		.per_s = l->per_s,
@@ -194,7 +194,7 @@
 		     const struct answer_info *info, int64_t request_sent_ms,
 		     enum limit_source source)
 {
-	struct limit_gossip news = {.n = 0};
+	struct limit_gossip update = {.n = 0};
 	struct limit_report w = {
 		.limited = info->limit == LIMIT_NAMED,
 		.per_s = info->limit_per_s,
@@ -218,8 +218,8 @@
 		b->state->limit->next_publish_ms =
 			w.received_ms + END_RESEND_MS;
 	}
-	add_item(&news, b, w.received_ms);
-	send_updates(t, &news);
+	add_item(&update, b, w.received_ms);
+	send_updates(t, &update);
 }
 
 /* Returns the backend server with this start hash, or NULL. */
@@ -239,12 +239,12 @@
 }
 
 /* Applies what a peer has passed on about servers' limits. */
-void limits_peer_update(struct traffic *t, const struct limit_gossip *news)
+void limits_peer_update(struct traffic *t, const struct limit_gossip *update)
 {
 	int64_t now_ms = clock_ms();
 
-	for (unsigned i = 0; i < news->n; i++) {
-		const struct limit_gossip_item *it = &news->items[i];
+	for (unsigned i = 0; i < update->n; i++) {
+		const struct limit_gossip_item *it = &update->items[i];
 		struct backend *b = limits_find(t, it->backend);
 		struct limit_report w = {
 			.limited = it->limited,
@@ -267,15 +267,15 @@
  * Returns whether this instance hears most others. If it does not, they cannot
  * tell it that a limit stands, so their silence means nothing.
  */
-static bool hears_majority(const struct traffic *t)
+static bool reaches_majority(const struct traffic *t)
 {
 	const GArray *known = t->peers.participants;
-	guint heard = 0;
+	guint reachable = 0;
 
 	for (guint i = 0; known && i < known->len; i++)
-		heard += g_array_index(known, struct limit_instance, i)
-				 .reachable;
-	return known && 2 * heard > known->len;
+		reachable += g_array_index(known, struct limit_instance, i)
+				     .reachable;
+	return known && 2 * reachable > known->len;
 }
 
 /*
@@ -288,7 +288,7 @@
 {
 	struct backend_limit *l = b->state->limit;
 
-	if (l->share.quota.held || !hears_majority(t) ||
+	if (l->share.quota.held || !reaches_majority(t) ||
 	    !server_limit_is_stale(&l->advertised, now_ms)) {
 		l->probe_allowed = false;
 		l->next_probe_ms = 0;
@@ -333,7 +333,7 @@
 {
 	struct traffic *t = timer->data;
 	int64_t now_ms = clock_ms();
-	struct limit_gossip news = {.n = 0};
+	struct limit_gossip update = {.n = 0};
 	bool any = false;
 	GHashTableIter it;
 	gpointer v;
@@ -347,13 +347,13 @@
 			continue;
 		any = true;
 		plan_probe(t, b, now_ms);
-		if (news.n == LIMIT_GOSSIP_MAX || !is_due(b, now_ms))
+		if (update.n == LIMIT_GOSSIP_MAX || !is_due(b, now_ms))
 			continue;
 		schedule_next(t, b, now_ms);
-		add_item(&news, b, now_ms);
+		add_item(&update, b, now_ms);
 	}
-	if (news.n)
-		send_updates(t, &news);
+	if (update.n)
+		send_updates(t, &update);
 	if (any)
 		start_timer(t, TICK_MS);
 }
--- a/traffic/limits.h
+++ b/traffic/limits.h
@@ -13,7 +13,7 @@
 void limits_response(struct traffic *t, struct backend *b,
 		     const struct answer_info *info, int64_t request_sent_ms,
 		     enum limit_source source);
-void limits_peer_update(struct traffic *t, const struct limit_gossip *news);
+void limits_peer_update(struct traffic *t, const struct limit_gossip *update);
 void limits_peers_changed(struct traffic *t);
 void limits_listed(struct traffic *t, const char *id);
 
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -117,21 +117,21 @@
 	int64_t now_ms = clock_ms();
 	int64_t left_ms = request_left_ms(r, now_ms);
 	struct admit_request view = request_admission_view(r, now_ms);
-	struct limit_capacity room = limit_capacity(r->service, now_ms);
+	struct limit_capacity capacity = limit_capacity(r->service, now_ms);
 	int64_t resume_ms = service_resume_ms(r->service, now_ms);
 	double random = g_rand_double(r->traffic->rand);
 	double retry_s = resume_ms ? retry_after_resume_s(
 					     &view, resume_ms - now_ms, random)
 				   : retry_after_s(&view, left_ms, random);
 	double queue_s =
-		retry_after_turn_s(&r->service->last_turn_ms, &room,
+		retry_after_turn_s(&r->service->last_turn_ms, &capacity,
 				   r->service->waiting.length, left_ms, now_ms);
 
 	r->traffic->last_failure_ms = now_ms;
 	refuse(r,
-	       resume_ms	  ? "servers backing off"
-	       : room.all_limited ? "servers in need"
-				  : why,
+	       resume_ms	      ? "servers backing off"
+	       : capacity.all_limited ? "servers in need"
+				      : why,
 	       MAX(retry_s, queue_s));
 }
 
--- a/traffic/request_queue.c
+++ b/traffic/request_queue.c
@@ -88,10 +88,10 @@
 
 /* Returns whether r gets its turn in time with `ahead` requests before it. */
 static bool is_served_in_time(const struct request *r,
-			      const struct limit_capacity *room, unsigned ahead,
-			      int64_t now_ms)
+			      const struct limit_capacity *capacity,
+			      unsigned ahead, int64_t now_ms)
 {
-	double wait_ms = limit_capacity_wait_ms(room, ahead);
+	double wait_ms = limit_capacity_wait_ms(capacity, ahead);
 
 	return (double)now_ms + wait_ms <= (double)wait_deadline_ms(r, now_ms);
 }
@@ -118,7 +118,7 @@
 /* Returns the last request behind r that can't be served in time, or NULL. */
 static struct request *last_unservable(const GQueue *waiting,
 				       const struct request *r,
-				       const struct limit_capacity *room,
+				       const struct limit_capacity *capacity,
 				       int64_t now_ms)
 {
 	unsigned ahead = waiting->length;
@@ -129,8 +129,8 @@
 		ahead--;
 		if (is_awaiting_grant(last, now_ms))
 			continue;
-		return is_served_in_time(last, room, ahead, now_ms) ? NULL
-								    : last;
+		return is_served_in_time(last, capacity, ahead, now_ms) ? NULL
+									: last;
 	}
 	return NULL;
 }
@@ -141,11 +141,12 @@
  * any of these, even r: the queue is searched anew each time.
  */
 static void refuse_unservable(const GQueue *waiting, const struct request *r,
-			      const struct limit_capacity *room, int64_t now_ms)
+			      const struct limit_capacity *capacity,
+			      int64_t now_ms)
 {
 	struct request *last;
 
-	while ((last = last_unservable(waiting, r, room, now_ms)))
+	while ((last = last_unservable(waiting, r, capacity, now_ms)))
 		give_up(last);
 }
 
@@ -153,16 +154,17 @@
  * All usable servers of the service have a limit, so the waiting time is known:
  * waits for its turn or for a peer's grant, or refuses immediately.
  */
-static void wait_for_limit(struct request *r, const struct limit_capacity *room,
+static void wait_for_limit(struct request *r,
+			   const struct limit_capacity *capacity,
 			   int64_t now_ms)
 {
-	int64_t until_ms =
-		now_ms + (room->next_ms > 0 ? room->next_ms : RECHECK_MS);
+	int64_t until_ms = now_ms + (capacity->next_ms > 0 ? capacity->next_ms
+							   : RECHECK_MS);
 	unsigned ahead;
 
 	enqueue(r);
 	ahead = (unsigned)g_queue_index(&r->service->waiting, r);
-	if (!is_served_in_time(r, room, ahead, now_ms)) {
+	if (!is_served_in_time(r, capacity, ahead, now_ms)) {
 		if (!begin_grant_wait(r, now_ms)) {
 			give_up(r);
 			return;
@@ -174,7 +176,7 @@
 	if (r->wait_count < RECHECK_DOUBLINGS_MAX)
 		r->wait_count++;
 	request_arm_timer(r);
-	refuse_unservable(&r->service->waiting, r, room, now_ms);
+	refuse_unservable(&r->service->waiting, r, capacity, now_ms);
 }
 
 /*
@@ -217,7 +219,7 @@
 void request_queue_wait(struct request *r, int64_t now_ms)
 {
 	struct admit_request view = request_admission_view(r, now_ms);
-	struct limit_capacity room = limit_capacity(r->service, now_ms);
+	struct limit_capacity capacity = limit_capacity(r->service, now_ms);
 	int64_t resume_ms = service_resume_ms(r->service, now_ms);
 
 	if (admit_can_be_on_time(&view) && r->select_reason != SELECT_HEDGE)
@@ -229,8 +231,8 @@
 		request_arm_timer(r);
 	} else if (resume_ms) {
 		wait_for_resume(r, resume_ms, now_ms);
-	} else if (room.all_limited) {
-		wait_for_limit(r, &room, now_ms);
+	} else if (capacity.all_limited) {
+		wait_for_limit(r, &capacity, now_ms);
 	} else {
 		wait_for_capacity(r, now_ms);
 	}
@@ -255,12 +257,12 @@
 bool request_queue_yield(struct request *r, int64_t now_ms)
 {
 	struct request *first = g_queue_peek_head(&r->service->waiting);
-	struct limit_capacity room;
+	struct limit_capacity capacity;
 
 	if (!r->queued || first == r || r->yielded)
 		return false;
-	room = limit_capacity(r->service, now_ms);
-	if (!room.all_limited || room.available == 0)
+	capacity = limit_capacity(r->service, now_ms);
+	if (!capacity.all_limited || capacity.available == 0)
 		return false;
 	r->yielded = true;
 	r->wait_until_ms = now_ms + 1;
