--- a/control/backend_watch.h
+++ b/control/backend_watch.h
@@ -17,10 +17,10 @@
 	bool relist;	/* the store no longer has the position to read from */
 	bool gap;	/* a feed began after the last applied record */
 	int64_t gap_ms; /* when the gap was detected */
-	bool full_listing; /* the pending call asks for a full listing */
+	bool full_listing; /* the pending call requests a full listing */
 	bool listing;
 	bool listing_restored; /* the listing is that of a restored store */
-	bool reading_tail;     /* the pending call looks for removals */
+	bool reading_tail;     /* the pending call reads removals */
 	struct store_position listing_end;
 	int64_t era_ms; /* when the store's present era was learned */
 	/* A read has succeeded; `recovered`: it is the first after failures. */
--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -20,8 +20,8 @@
 	POLL_WAIT_MIN_MS = 1750,
 	ANSWER_MARGIN_MS = 500, /* after the wait; answers come no later */
 	/*
-	 * The first instances poll, and the others hear from them about four
-	 * times a second. An instance that hears nothing for this long polls
+	 * The first instances poll, and report to the others about four times
+	 * a second. An instance that receives no report for this long polls
 	 * too.
 	 */
 	SILENCE_MS = 1000,
@@ -46,7 +46,7 @@
 	RETRY_MAX_MS = 800,
 	/*
 	 * The hubs retry often and report when the store is back; an instance
-	 * that hears from none must have a version in force within 5 s.
+	 * that receives no report must have a version in force within 5 s.
 	 */
 	RETRY_BEHIND_HUBS_MS = 2800,
 };
@@ -439,7 +439,7 @@
 	       w->newest_mark.digest != w->invalid_digest;
 }
 
-/* config_watch_progress() returns how far this instance knows the configuration. */
+/* config_watch_progress() returns the position and version read so far. */
 struct config_progress config_watch_progress(const struct config_watch *w,
 					     int64_t store_ms, int64_t now_ms)
 {
--- a/control/config_watch.h
+++ b/control/config_watch.h
@@ -1,9 +1,9 @@
 /*
  * Follows the configuration in the platform's store. The first instances keep a
  * long poll open; the others learn from them which records exist, read those
- * that are new, and poll as well if they hear nothing. Versions are ordered by
- * their number alone. A position is valid in one era of the store, which may be
- * restored from a backup that lacks versions known here.
+ * that are new, and poll as well if they receive no reports. Versions are
+ * ordered by their number alone. A position is valid in one era of the store,
+ * which may be restored from a backup that lacks versions known here.
  */
 #ifndef MP_CONTROL_CONFIG_WATCH_H
 #define MP_CONTROL_CONFIG_WATCH_H
--- a/control/control.c
+++ b/control/control.c
@@ -74,7 +74,7 @@
 	control_send_traffic(priv, TO_TRAFFIC_BACKEND, copy);
 }
 
-/* Updates what every datagram says about this instance. */
+/* Updates the description of this instance that each datagram carries. */
 static void update_self(struct control *c, int64_t now_ms)
 {
 	struct peer_info *self = &c->peers.peers.self;
--- a/control/control.h
+++ b/control/control.h
@@ -48,7 +48,10 @@
 struct peer_view {
 	unsigned instances; /* number that share the system's limits */
 	GArray *named; /* struct peer_endpoint, instances that callers may use */
-	/* struct limit_instance, see peers_limit_participants(); empty until known */
+	/*
+	 * struct limit_instance, see peers_limit_participants(); empty until
+	 * known
+	 */
 	GArray *participants;
 };
 
@@ -76,7 +79,7 @@
 	struct feeder feeder;
 	ev_timer tick;
 	ev_timer era_timer; /* handles a new era outside the store callback */
-	uint64_t era_announced; /* last era told to peers */
+	uint64_t era_announced; /* last era sent to peers */
 	ev_signal term, interrupt, hup;
 	struct store_endpoint store;
 	struct config_source source;
@@ -87,7 +90,7 @@
 	struct crash_watch crashes;
 	struct record_check records;
 	int64_t started_ms;
-	bool seen_peer;	     /* a peer was heard since startup */
+	bool seen_peer;	     /* a peer sent something since startup */
 	bool can_serve;	     /* configuration and list were complete once */
 	int64_t stopping_ms; /* when stopping began; 0: not stopping */
 	struct control_view view;
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -80,7 +80,7 @@
 	return t->notice.kind == CRASH_NOTICE_ANSWERED && w->rank < HUB_COUNT;
 }
 
-/* Sends one datagram of news to all live peers or to the hubs. */
+/* Sends one datagram of notices to all live peers or to the hubs. */
 static void send_updates(struct crash_watch *w,
 			 const struct crash_notice *notices, unsigned n,
 			 bool to_all, int64_t now_ms)
@@ -285,7 +285,7 @@
 	crash_tracker_add_answer(&w->tracker, notice->digest, now_ms);
 }
 
-/* An instance that reports another end doesn't know the verdict yet. */
+/* An instance that reports another crash doesn't know the verdict yet. */
 static void apply_end(struct crash_watch *w, const struct crash_notice *notice,
 		      int64_t now_ms)
 {
@@ -303,7 +303,7 @@
 				now_ms);
 }
 
-/* Applies one item of news to the tracker. */
+/* Applies one notice to the tracker. */
 static void apply(struct crash_watch *w, const struct crash_notice *notice)
 {
 	int64_t now_ms = clock_ms();
@@ -323,7 +323,7 @@
 	arm(w, now_ms);
 }
 
-/* crash_watch_add_local() handles news from this instance's own traffic. */
+/* crash_watch_add_local() handles a notice of this instance's own traffic. */
 void crash_watch_add_local(struct crash_watch *w,
 			   const struct crash_notice *notice)
 {
@@ -331,7 +331,7 @@
 	apply(w, notice);
 }
 
-/* Applies the news of another instance or of the store. */
+/* Applies the notices of another instance or of the store. */
 static void apply_all(struct crash_watch *w, const char *source,
 		      const GArray *notices)
 {
@@ -341,7 +341,7 @@
 	w->source = NULL;
 }
 
-/* crash_watch_add_peer() handles news from a peer. */
+/* crash_watch_add_peer() handles notices from a peer. */
 void crash_watch_add_peer(struct crash_watch *w, const char *source,
 			  const GArray *notices)
 {
--- a/control/crash_watch.h
+++ b/control/crash_watch.h
@@ -5,9 +5,9 @@
  *
  * In a small system all instances exchange all evidence, and each decides on
  * the same evidence. In a large one evidence goes to the hubs, which decide and
- * broadcast verdicts. Datagrams get lost, so news are repeated; the first three
- * instances also send verdicts to instances that join, and write them to the
- * store.
+ * broadcast verdicts. Datagrams get lost, so notices are repeated; the first
+ * three instances also send verdicts to instances that join, and write them to
+ * the store.
  */
 #ifndef MP_CONTROL_CRASH_WATCH_H
 #define MP_CONTROL_CRASH_WATCH_H
@@ -27,8 +27,8 @@
 	unsigned rank;	/* number of live instances ordered before this one */
 	bool large;	/* hubs are in use, see member/hubs.h */
 	unsigned joins; /* value of channel->joins at the last tick */
-	const char *source; /* who sent these news; NULL: this instance */
-	bool from_store;    /* the news being applied come from the store */
+	const char *source; /* sender of the notices; NULL: this instance */
+	bool from_store;    /* the notices being applied are stored ones */
 	void (*verdict)(void *priv, const struct verdict *v);
 	void *priv;
 };
--- a/control/peer_channel.c
+++ b/control/peer_channel.c
@@ -216,7 +216,7 @@
 	buf_free(&b);
 }
 
-/* Asks the sender of a roster for the details of unknown members. */
+/* Requests details of unknown members from the sender of a roster. */
 static void request_member_info(struct peer_channel *ch, struct peer *hub,
 				const GArray *ids, int64_t now_ms)
 {
@@ -230,7 +230,7 @@
 	}
 }
 
-/* Applies a roster and asks for details of the members it adds. */
+/* Applies a roster and requests details of the members it adds. */
 static void receive_roster(struct peer_channel *ch,
 			   const struct gossip_message *m, int64_t now_ms)
 {
--- a/control/peer_channel.h
+++ b/control/peer_channel.h
@@ -1,7 +1,7 @@
 /*
- * Datagrams to and from the other entry instances: heartbeats, the roster of live
- * instances, requests for a member's details, and whatever else the control
- * thread sends.
+ * Datagrams to and from the other entry instances: heartbeats, the roster of
+ * live instances, requests for a member's details, and other messages of the
+ * control thread.
  */
 #ifndef MP_CONTROL_PEER_CHANNEL_H
 #define MP_CONTROL_PEER_CHANNEL_H
--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -11,14 +11,14 @@
 	HEAD_MAX = 4096,
 	/*
 	 * Configuration records that are larger are read from the store. All
-	 * other instances ask the first one at once, and on a link of 10 Mbit/s
-	 * 132 answers of this size take 0.9 s of the 2 s in which a version
-	 * must be in force. Twenty routes take 4 KB.
+	 * other instances query the first one at once, and on a link of 10
+	 * Mbit/s 132 answers of this size take 0.9 s of the 2 s in which a
+	 * version must be in force. Twenty routes take 4 KB.
 	 */
 	CONFIG_MAX = 8 * 1024,
 	/*
 	 * Concurrent snapshots. More would not be faster: eight of 30 KB take
-	 * 0.2 s on a link of 10 Mbit/s. Others ask another peer.
+	 * 0.2 s on a link of 10 Mbit/s. Others use another peer.
 	 */
 	CONCURRENT_ANSWERS_MAX = 8,
 };
@@ -66,7 +66,7 @@
 	bool small = in->config->record.len <= CONFIG_MAX;
 	bool version = lstr_eq(path, CONFIG_PATH);
 
-	/* All ask for a small configuration at once, so it isn't limited. */
+	/* All request a small configuration at once, so it isn't limited. */
 	if (!in->peers->self.ready ||
 	    (!version && in->server.nconns > CONCURRENT_ANSWERS_MAX))
 		return 503;
@@ -227,7 +227,7 @@
 	if (!p)
 		return;
 	in->request_sent_ms = now_ms;
-	/* If this fails at once, another peer is asked next time. */
+	/* If this fails at once, the next attempt uses another peer. */
 	(void)send_request(in, &p->info,
 			   whole ? SNAPSHOT_WHOLE_PATH : SNAPSHOT_PATH);
 }
--- a/control/publish.c
+++ b/control/publish.c
@@ -11,7 +11,7 @@
 /*
  * Returns whether the configuration is confirmed. The store may have been
  * restored without a version that the peers know, so an instance that has just
- * started must hear from them first.
+ * started must receive their positions first.
  */
 static bool is_config_confirmed(const struct control *c, int64_t now_ms)
 {
--- a/control/start.c
+++ b/control/start.c
@@ -10,7 +10,7 @@
 	/* Live peers have answered the first heartbeat by then. */
 	READY_KNOWN_MS = 80,
 	/*
-	 * Instances that read the store at once, so that others can ask them.
+	 * Instances that read the store at once, so that they can serve others.
 	 */
 	STORE_READERS = 2,
 	/*
--- a/core/admit.c
+++ b/core/admit.c
@@ -63,8 +63,8 @@
  *
  * - A request that can meet its target only accepts a server that meets it.
  * - A late request accepts any server that isn't slow; under contention or
- *   when capacity is short, only one with headroom. accepts_slow_server() says
- *   when it accepts a slow one.
+ *   when capacity is short, only one with headroom. accepts_slow_server()
+ *   decides when it accepts a slow one.
  *
  * A request that starts while a server is slow stays slow to its end, although
  * the server recovers a moment later. Such requests miss their target anyway
--- a/core/budget.h
+++ b/core/budget.h
@@ -48,7 +48,7 @@
 	BUDGET_INTERVALS_PER_WINDOW = 100,
 	/*
 	 * Size of the ring of intervals: windows begin up to one window ago and
-	 * look one further back. A power of two, so that the index is a mask.
+	 * extend one further back. A power of two, so that the index is a mask.
 	 */
 	BUDGET_INTERVALS = 256,
 };
--- a/core/caller_timeout.c
+++ b/core/caller_timeout.c
@@ -18,8 +18,8 @@
 /*
  * Some callers use a different timeout for each request. Values that fall short
  * of the timeout by less than this spread may be first attempts; without it a
- * third of those counted as late, got the slow servers and, if refused, were
- * told to retry after a third of their time. The spread needs
+ * third of those counted as late, got the slow servers and, if refused,
+ * were given a third of their time as Retry-After. The spread needs
  * SPREAD_SAMPLES_MIN samples; one in sixteen is ignored, as it may belong to a
  * later attempt.
  */
--- a/core/crash_tracker.h
+++ b/core/crash_tracker.h
@@ -37,7 +37,7 @@
 	CRASH_QUARANTINED, /* all instances refuse it */
 	CRASH_TRIAL,	   /* one copy may be sent to a server */
 	CRASH_RELEASED,	   /* answered, or another request is the cause */
-	CRASH_EXPIRED,	   /* no news for a long time */
+	CRASH_EXPIRED,	   /* no reports for a long time */
 };
 
 struct crash_tracker {
--- a/core/limit_borrow.c
+++ b/core/limit_borrow.c
@@ -13,7 +13,7 @@
 	GRANT_VALID_MS = 200, /* from its arrival */
 };
 
-/* Returns whether peers may be asked now. */
+/* Returns whether a request may be sent to the peers now. */
 bool limit_borrow_is_due(const struct limit_borrow *b, int64_t now_ms)
 {
 	int64_t delay_ms =
--- a/core/limit_borrow.h
+++ b/core/limit_borrow.h
@@ -1,8 +1,8 @@
 /*
  * Borrowing of sends between instances. When all servers of a service have
  * limits and this instance's quotas are too small for its callers, while others
- * hold more than they use, it asks them to give up a send and grant it to this
- * one.
+ * hold more than they use, it requests that they give up a send and grant it
+ * to this one.
  *
  * A lender gives up a send before it grants it, so the sum over all instances
  * never grows: if the grant is lost, there is one send less. A late grant is
--- a/core/limit_gossip.h
+++ b/core/limit_gossip.h
@@ -1,8 +1,9 @@
 /*
- * Gossip about the limits that backend servers announce. Instances pass on what
- * servers told them, so that the others learn of a limit that a server hasn't
- * told them, and those that may not send to a server learn of its end. To keep
- * to a limit that it knows an instance doesn't depend on gossip.
+ * Gossip about the limits that backend servers announce. Instances forward the
+ * announcements they receive, so that the others learn of a limit before the
+ * server announces it to them, and those that may not send to a server learn
+ * that its limit has ended. Complying with a known limit doesn't depend on
+ * gossip.
  */
 #ifndef MP_CORE_LIMIT_GOSSIP_H
 #define MP_CORE_LIMIT_GOSSIP_H
--- a/core/limit_share.h
+++ b/core/limit_share.h
@@ -15,7 +15,7 @@
  * holders together send at most what was saved and refilled, S + 4 L <= 5.5 L +
  * 3. A bucket at every instance would exceed the rule by any number of sends
  * beyond the slack. The remainder of the rule, 0.5 L + 2, covers sends that are
- * delayed on the way, instances that disagree for a moment about the holders (a
+ * delayed in transit, instances that disagree for a moment about the holders (a
  * new holder or a new process starts with no tokens), and the rare send of an
  * instance without a quota that checks whether the limit has ended, see
  * server_limit_is_stale().
@@ -23,9 +23,9 @@
  * K is at most 4 L, so that each holder gets one token in 4 s: at a low limit
  * that is how soon an instance learns that it has ended.
  *
- * peers_limit_participants() tells which instances there are. An instance that counts too
- * many of them takes less, which is safe. One that is silent keeps its share,
- * as it may be cut off and still serve; what it doesn't use is lost.
+ * peers_limit_participants() returns the instances that count. An instance that
+ * counts too many of them takes less, which is safe. One that is silent keeps
+ * its share, as it may be cut off and still serve; what it doesn't use is lost.
  *
  * A send may reach the server at any time until it has ended, if a link is
  * slow. So each holder also keeps to its part of the rule, (6 L + 5) / K, in
@@ -63,7 +63,7 @@
 /* An instance that may send to servers. */
 struct limit_instance {
 	uint32_t id;	    /* peer_id() */
-	uint32_t reachable; /* 0: silent; 1: heard from lately */
+	uint32_t reachable; /* 0: silent; 1: sends heartbeats */
 };
 
 /* All instances that this one knows; itself first. */
--- a/core/quarantine.h
+++ b/core/quarantine.h
@@ -1,7 +1,7 @@
 /*
  * Quarantine state that the traffic thread applies to requests, and the
  * requests that were answered recently, against which no crash is held. The
- * evidence is kept by the control thread, see core/crash_ledger.h.
+ * evidence is kept by the control thread, see core/crash_tracker.h.
  */
 #ifndef MP_CORE_QUARANTINE_H
 #define MP_CORE_QUARANTINE_H
--- a/core/request_digest.h
+++ b/core/request_digest.h
@@ -1,6 +1,6 @@
 /*
  * Identity of a request by its content: callers repeat a request under a new id
- * and at any instance, so its repetitions are recognized by what they ask for.
+ * and at any instance, so its repetitions are recognized by their content.
  */
 #ifndef MP_CORE_REQUEST_DIGEST_H
 #define MP_CORE_REQUEST_DIGEST_H
--- a/core/server_limit.h
+++ b/core/server_limit.h
@@ -1,8 +1,8 @@
 /*
  * The limit that an overloaded backend server announces: how many requests per
- * second it takes from all instances together, for as long as its responses say
- * so. This is what one instance knows of it, from the server's responses and
- * from peers.
+ * second it takes from all instances together, for as long as its responses
+ * contain it. This is what one instance knows of it, from the server's
+ * responses and from peers.
  *
  * Responses on several connections overtake each other, and a peer's report is
  * older than its datagram. Of each report it is only known that the server made
--- a/core/server_state.h
+++ b/core/server_state.h
@@ -29,7 +29,7 @@
 	struct limit_share share;
 	double published_per_s;	     /* as last logged and sent to peers */
 	int64_t next_publish_ms;     /* when to confirm it to peers again */
-	unsigned end_publishes_left; /* times to tell peers that it has ended */
+	unsigned end_publishes_left; /* announcements of its end */
 	int64_t next_probe_ms;	     /* earliest probe without a share */
 	int64_t borrowed_until_ms;   /* expiry of a send that a peer gave up */
 	bool probe_allowed; /* one send, to test whether the limit has ended */
@@ -50,7 +50,7 @@
 	bool limit_invalid;  /* the last limit wasn't a number; for the log */
 	bool invalid_logged;
 	bool draining;		       /* announced by the server; permanent */
-	unsigned drain_publishes_left; /* times to tell peers of draining */
+	unsigned drain_publishes_left; /* announcements of it to peers */
 	int64_t next_drain_publish_ms;
 	int64_t backoff_until_ms; /* requested by the server; 0: never */
 	int64_t resume_ms;	  /* backoff_until_ms plus local jitter */
--- a/member/gossip.h
+++ b/member/gossip.h
@@ -1,5 +1,5 @@
 /*
- * Datagrams between entry instances: heartbeats, membership, and news about
+ * Datagrams between entry instances: heartbeats, membership, and updates on
  * backend servers, among them the changes of the backend list that one instance
  * reads on behalf of all. Encoded as msgpack over UDP. A lost datagram is made
  * up for by the next one or by a read of the store, and there is no connection
--- a/member/hubs.c
+++ b/member/hubs.c
@@ -165,9 +165,9 @@
 }
 
 /*
- * Handles a digest, which says that the roster has not changed. Returns false
- * if it differs from the roster known here; the caller must then request the
- * full one.
+ * Handles a digest, which confirms that the roster has not changed. Returns
+ * false if it differs from the roster known here; the caller must then request
+ * the full one.
  */
 bool hubs_apply_digest(struct peer_table *t, uint32_t digest, int64_t now_ms)
 {
--- a/member/peers.c
+++ b/member/peers.c
@@ -118,8 +118,8 @@
 }
 
 /*
- * Returns a peer whose heartbeats have stopped, each one once until it is heard
- * again; NULL if there is none.
+ * Returns a peer whose heartbeats have stopped, each one once until they
+ * resume; NULL if there is none.
  */
 const struct peer *peers_next_lost(struct peer_table *t, int64_t now_ms)
 {
@@ -168,8 +168,8 @@
 }
 
 /*
- * Like peers_rank(), for an instance that has just started: peers not heard yet
- * count for as long as they may still reply.
+ * Like peers_rank(), for an instance that has just started: peers that have
+ * sent nothing yet count for as long as they may still reply.
  */
 unsigned peers_startup_rank(const struct peer_table *t, int64_t now_ms)
 {
--- a/member/peers.h
+++ b/member/peers.h
@@ -51,7 +51,7 @@
 	int64_t added_ms;     /* when it was added to the table */
 	int64_t heartbeat_ms; /* last heartbeat received; 0: never */
 	uint32_t id;	      /* peer_id() of its name */
-	bool roster_ready;    /* as the roster says */
+	bool roster_ready;    /* according to the roster */
 	bool in_roster;	      /* the latest roster covering its id lists it */
 	int64_t roster_ms;    /* when one last listed it; 0: never */
 	int64_t sent_ms;      /* last datagram sent to it; 0: none yet */
--- a/tests/test_crash_tracker.c
+++ b/tests/test_crash_tracker.c
@@ -1,5 +1,5 @@
 /*
- * Tests of core/crash_ledger: which requests are quarantined after crashes of
+ * Tests of core/crash_tracker: which requests are quarantined after crashes of
  * servers, which are not, and how a quarantine ends.
  */
 #include "tests/unit.h"
--- a/tests/test_limit_borrow.c
+++ b/tests/test_limit_borrow.c
@@ -1,4 +1,7 @@
-/* Tests of core/limit_want: when peers are asked, and which grants count. */
+/*
+ * Tests of core/limit_borrow: when requests are sent to peers, and which grants
+ * are accepted.
+ */
 #include "tests/unit.h"
 
 #include "core/limit_borrow.h"
--- a/tests/test_limit_share.c
+++ b/tests/test_limit_share.c
@@ -96,7 +96,7 @@
 	g_free(sys);
 }
 
-/* Returns whether a hears from b. */
+/* Returns whether a receives heartbeats of b. */
 static bool hears(const struct instance *a, const struct instance *b,
 		  int64_t now_ms)
 {
--- a/tests/test_limits.c
+++ b/tests/test_limits.c
@@ -1,6 +1,6 @@
 /*
- * Tests of traffic/limits, traffic/limit_sends and traffic/request_queue_wait: the
- * traffic thread with servers that set limits, and its messages to and from
+ * Tests of traffic/limits, traffic/limit_sends and traffic/request_queue_wait:
+ * the traffic thread with servers that set limits, and its messages to and from
  * peers.
  */
 #include "tests/unit.h"
@@ -10,8 +10,8 @@
 enum { PEER_ID = 77 }; /* id of a peer */
 
 /*
- * Tells the traffic thread which instances share limits: itself and `others`
- * more.
+ * Sets the instances that share limits in the traffic thread: itself and
+ * `others` more.
  */
 static void set_participants(struct bench *b, unsigned others)
 {
@@ -92,8 +92,8 @@
 }
 
 /*
- * While the participants are unknown this instance holds no share, so the server
- * gets nothing more.
+ * While the participants are unknown this instance holds no share, so the
+ * server gets nothing more.
  */
 static void test_sharers_unknown(void **state)
 {
--- a/tests/test_peers.c
+++ b/tests/test_peers.c
@@ -92,7 +92,9 @@
 	/* A dead instance is dropped within two seconds. */
 	receive_heartbeat(&t, "e1", 2900);
 	expect_listed(&t, 3000, 2, 1, "e1");
-	/* An instance that hears nobody is cut off: it lists all it knows. */
+	/*
+	 * An instance that receives nothing is cut off: it lists all it knows.
+	 */
 	expect_listed(&t, 9000, 3, 0, "e3");
 	/* A stopping instance lists only the others. */
 	t.self.leaving = true;
--- a/tests/test_probe_budget.c
+++ b/tests/test_probe_budget.c
@@ -1,4 +1,4 @@
-/* Tests of core/ask_budget: the rate of load probes of all instances. */
+/* Tests of core/probe_budget: the rate of load probes of all instances. */
 #include "tests/unit.h"
 
 #include "core/probe_budget.h"
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -56,7 +56,7 @@
 	bench_free(b);
 }
 
-/* All servers report full: nothing is sent, and the caller is told quickly. */
+/* All servers report full: nothing is sent, and the caller is refused fast. */
 static void test_no_capacity(void **state)
 {
 	struct bench *b = bench_new(2);
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -198,8 +198,8 @@
 }
 
 /*
- * Returns whether a probe may be sent now; if so it is charged to the ask
- * budget.
+ * Returns whether a probe may be sent now; if so it is charged to the
+ * probe budget.
  */
 static bool take_probe_budget(struct traffic *t)
 {
@@ -270,8 +270,8 @@
 }
 
 /*
- * Called when a server has run a request and lives. If the request is under
- * suspicion, the other instances are informed.
+ * Called when a server has executed a request without crashing. If the request
+ * is suspected, the other instances are notified.
  */
 void crash_check_answered(struct traffic *t, uint64_t digest)
 {
--- a/traffic/drain_gossip.c
+++ b/traffic/drain_gossip.c
@@ -6,8 +6,8 @@
 	ANNOUNCEMENTS = 3, /* repeated, since datagrams may be lost */
 	RESEND_MS = 1000,
 	/*
-	 * A new peer needs the news from one instance only: each waits for a
-	 * random time up to this, and skips its turn if another one was first.
+	 * One instance is enough to inform a new peer: each waits for a random
+	 * time up to this, and sends nothing if another one was first.
 	 */
 	NEW_PEER_JITTER_MS = 1000,
 	TICK_MS = 100,
--- a/traffic/feedback.c
+++ b/traffic/feedback.c
@@ -23,7 +23,7 @@
 		 text.ptr);
 }
 
-/* Starts the backoff that b asked for. */
+/* Starts the backoff that b requested. */
 static void back_off(struct traffic *t, struct backend *b, double backoff_s)
 {
 	struct server_state *s = b->state;
@@ -35,7 +35,7 @@
 				   now_ms))
 		return;
 	/*
-	 * A load report from before the backoff must not look like free
+	 * A load report from before the backoff must not count as free
 	 * capacity after it.
 	 */
 	b->load = (struct load_report){.slots = b->load.slots};
--- a/traffic/feedback.h
+++ b/traffic/feedback.h
@@ -1,6 +1,7 @@
 /*
- * Applies what responses say about their backend server: limit, backoff and
- * draining. Responses that no request waits for any more count as well.
+ * Applies the state that responses report of their backend server: limit,
+ * backoff and draining. Responses that no request waits for any more count as
+ * well.
  */
 #ifndef MP_TRAFFIC_FEEDBACK_H
 #define MP_TRAFFIC_FEEDBACK_H
--- a/traffic/limit_sends.c
+++ b/traffic/limit_sends.c
@@ -152,9 +152,9 @@
 }
 
 /*
- * Gives up one send for a peer. It is charged and ended here before the peer is
- * told, so that the two never both use it. The peer's request arrives within
- * about 0.4 s, for which the limit rule leaves room, or never.
+ * Gives up one send for a peer. It is charged and ended here before the grant
+ * is sent, so that the two never both use it. The peer's request arrives within
+ * about 0.4 s, which the slack of the limit rule covers, or never.
  */
 static void give_up_send(struct traffic *t,
 			 const struct limit_borrow_msg *request)
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -8,16 +8,16 @@
 	/* Timer interval while servers are limited. */
 	TICK_MS = 500,
 	/*
-	 * If nobody has repeated for this long that a limit stands, the
-	 * instances that hold a share of it announce it again, with a random
-	 * delay so that most need not.
+	 * If no instance has confirmed a limit for this long, the instances
+	 * that hold a share of it announce it again, with a random delay so
+	 * that most need not.
 	 */
 	RESEND_MS = 2000,
 	RESEND_JITTER_MS = 1000,
 	/*
 	 * The end of a limit is repeated this often, at this interval: a peer
-	 * that has just heard that the limit stands needs an update that is
-	 * certainly newer.
+	 * that has just received a confirmation of the limit needs an update
+	 * that is certainly newer.
 	 */
 	END_SENDS = 3,
 	END_RESEND_MS = 1000,
@@ -112,8 +112,8 @@
 }
 
 /*
- * Applies what a server has said, directly or through a peer. Returns whether
- * it must be reported.
+ * Applies a report of a server, received directly or through a peer. Returns
+ * whether it must be sent to the peers.
  */
 static bool apply_update(struct traffic *t, struct backend *b,
 			 const struct limit_report *w)
@@ -141,7 +141,7 @@
 	return true;
 }
 
-/* Passes news to the control thread, which sends them to peers. */
+/* Passes an update to the control thread, which sends it to the peers. */
 static void send_updates(struct traffic *t, const struct limit_gossip *update)
 {
 	struct limit_gossip *copy = g_memdup2(update, sizeof(*update));
@@ -160,8 +160,8 @@
 }
 
 /*
- * Called when b's limit was announced: if nobody repeats it, this instance does
- * after a while.
+ * Called when b's limit was announced: if no peer repeats it, this instance
+ * does after a while.
  */
 static void schedule_resend(struct traffic *t, struct backend *b,
 			    int64_t now_ms)
@@ -187,8 +187,8 @@
 }
 
 /*
- * Applies what a response of b, to a request sent at request_sent_ms, says about its
- * limit. Changes are sent to the peers at once.
+ * Applies the limit that a response of b announces; its request was sent at
+ * request_sent_ms. Changes are sent to the peers at once.
  */
 void limits_response(struct traffic *t, struct backend *b,
 		     const struct answer_info *info, int64_t request_sent_ms,
@@ -238,7 +238,7 @@
 	return NULL;
 }
 
-/* Applies what a peer has passed on about servers' limits. */
+/* Applies a peer's update on the limits of servers. */
 void limits_peer_update(struct traffic *t, const struct limit_gossip *update)
 {
 	int64_t now_ms = clock_ms();
@@ -264,8 +264,9 @@
 }
 
 /*
- * Returns whether this instance hears most others. If it does not, they cannot
- * tell it that a limit stands, so their silence means nothing.
+ * Returns whether this instance receives heartbeats of most others. If not,
+ * they can't confirm a limit to it, so their silence doesn't mean that it has
+ * ended.
  */
 static bool reaches_majority(const struct traffic *t)
 {
@@ -279,9 +280,9 @@
 }
 
 /*
- * Plans a probe: if nobody has heard from b for long, one of the instances that
- * hold no share of its limit sends it a request to learn whether the limit
- * still stands. A random delay decides which one, and the others learn the
+ * Plans a probe: if no instance has had a response of b for long, one of those
+ * that hold no share of its limit sends it a request to learn whether the limit
+ * is still in force. A random delay decides which one, and the others learn the
  * result from it.
  */
 static void plan_probe(struct traffic *t, struct backend *b, int64_t now_ms)
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -151,8 +151,8 @@
 }
 
 /*
- * Ends a quarantined request. If this instance hasn't sent it, the caller is
- * told when it will be tried again.
+ * Ends a quarantined request. If this instance hasn't sent it, the response
+ * contains the time after which it will be tried again.
  */
 void request_reject_quarantined(struct request *r)
 {
@@ -166,8 +166,8 @@
 }
 
 /*
- * Ends a request whose outcome is unknown with 502 or 504, which say nothing
- * about whether it was executed.
+ * Ends a request whose outcome is unknown with 502 or 504, which leave open
+ * whether it was executed.
  */
 void request_fail(struct request *r, unsigned status, const char *why)
 {
