--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -213,8 +213,8 @@
 }
 
 /*
- * peer_fetch_tick() asks the next peer when due; call it often. `whole`: also
- * for a large configuration, since the store doesn't answer.
+ * peer_fetch_tick() sends a request to the next peer when due; call it often.
+ * `whole`: also for a large configuration, since the store doesn't answer.
  */
 void peer_fetch_tick(struct peer_fetch *in, bool whole, int64_t now_ms)
 {
--- a/core/crash_tracker.h
+++ b/core/crash_tracker.h
@@ -1,8 +1,8 @@
 /*
  * Detection of requests that crash backend servers. Such a request may crash
- * each server that executes it, and return under a new id at any instance. What
- * is known of it is kept by its digest, and is the same on all instances once
- * they have exchanged it.
+ * each server that executes it, and return under a new id at any instance. The
+ * evidence is kept by its digest, and is the same on all instances once they
+ * have exchanged it.
  *
  * Most requests that were at a server when it crashed were only executed
  * alongside the cause, so one crash proves nothing. A request is quarantined,
--- a/member/gossip.h
+++ b/member/gossip.h
@@ -24,12 +24,12 @@
 	GOSSIP_FEED = 2,
 	GOSSIP_LOAD = 11,	  /* requests in flight; sender is an id only */
 	GOSSIP_ROSTER = 4,	  /* live instances, as known to a hub */
-	GOSSIP_INFO_REQUEST = 5,  /* asks for the instance behind an id */
+	GOSSIP_INFO_REQUEST = 5,  /* requests the instance with an id */
 	GOSSIP_ROSTER_DIGEST = 8, /* the roster is unchanged */
-	GOSSIP_ROSTER_REQUEST = 9, /* asks for the full roster */
+	GOSSIP_ROSTER_REQUEST = 9, /* requests the full roster */
 	GOSSIP_INFO = 6,	   /* another instance's peer_info */
 	GOSSIP_CRASHES = 10,	   /* requests that crashed backends */
-	GOSSIP_GRANT_REQUEST = 13, /* asks a peer to give up a send */
+	GOSSIP_GRANT_REQUEST = 13, /* requests a send from a peer */
 	GOSSIP_GRANT = 14,	   /* gives up a send; both: sender is an id */
 	GOSSIP_DRAINING = 15,	   /* draining backends; sender is an id only */
 	GOSSIP_LIMITS = 12,	   /* backends' limits; sender is an id only */
@@ -96,9 +96,9 @@
 	struct backend_feed feed; /* of GOSSIP_FEED */
 	struct peer_load load;	  /* of GOSSIP_LOAD */
 	struct roster roster;	  /* of GOSSIP_ROSTER */
-	uint32_t info_id;      /* of GOSSIP_INFO_REQUEST: the id in question */
-	uint32_t digest;       /* of GOSSIP_ROSTER_DIGEST */
-	struct peer_info info; /* of GOSSIP_INFO */
+	uint32_t info_id;	  /* of GOSSIP_INFO_REQUEST: the requested id */
+	uint32_t digest;	  /* of GOSSIP_ROSTER_DIGEST */
+	struct peer_info info;	  /* of GOSSIP_INFO */
 	struct limit_gossip limits; /* of GOSSIP_LIMITS */
 	struct drain_gossip drain;  /* of GOSSIP_DRAINING */
 	struct limit_borrow_msg
--- a/member/hubs.h
+++ b/member/hubs.h
@@ -2,10 +2,11 @@
  * Distribution of liveness among entry instances. Few instances send heartbeats
  * to each other directly. In a large deployment they send them only to the
  * hubs, which are the first live instances by name; the first hub sends
- * everyone the roster: the ids of the instances that it hears or, while that
- * does not change, only its digest. So n instances send about 4n datagrams per
- * heartbeat interval instead of n^2. While no roster arrives, every instance
- * falls back to sending to every other. No I/O; times are passed in.
+ * everyone the roster: the ids of the instances that it receives heartbeats of
+ * or, while that does not change, only its digest. So n instances send about 4n
+ * datagrams per heartbeat interval instead of n^2. While no roster arrives,
+ * every instance falls back to sending to every other. No I/O; times are passed
+ * in.
  */
 #ifndef MP_MEMBER_HUBS_H
 #define MP_MEMBER_HUBS_H
--- a/member/peers.c
+++ b/member/peers.c
@@ -296,9 +296,9 @@
 /*
  * Lists the instances that callers may connect to: the live ones that can serve
  * or, if none can, all live ones, which reply with a time to retry. An instance
- * that hears none of the others is more likely cut off than the last survivor,
- * so it lists all known ones. Returns an array of struct peer_endpoint; unref
- * it after use.
+ * that receives nothing from the others is more likely cut off than the last
+ * survivor, so it lists all known ones. Returns an array of struct
+ * peer_endpoint; unref it after use.
  */
 GArray *peers_for_callers(const struct peer_table *t, int64_t now_ms)
 {
--- a/tests/test_request.c
+++ b/tests/test_request.c
@@ -1,6 +1,6 @@
 /*
  * Tests of request handling: the traffic thread's code, callers and scripted
- * backend servers in one process, on loopback. What callers are told is
+ * backend servers in one process, on loopback. What callers receive is
  * compared with what the servers executed: non-idempotent requests at most
  * once, "not executed" only if that is true, each caller its own complete
  * response, and every wait bounded.
@@ -32,7 +32,7 @@
 	bench_free(b);
 }
 
-/* Refused by all servers: the caller is told "not executed", truthfully. */
+/* Refused by all servers: the caller receives "not executed", truthfully. */
 static void test_refused(void **state)
 {
 	struct bench *b = bench_new(2);
--- a/tests/test_request_send.c
+++ b/tests/test_request_send.c
@@ -94,7 +94,7 @@
 
 /*
  * A server that restarted under its id has lost its requests: idempotent ones
- * are sent to another server at once, the callers of others are told the
+ * are sent to another server at once, for others the response is that the
  * outcome is unknown.
  */
 static void test_restarted_server(void **state)
