--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -262,7 +262,7 @@
 	return w->pos.era == w->store.store->era;
 }
 
-/* Sends a long poll, or asks for the newest record if there is no position. */
+/* Sends a long poll, or a read of the newest record without a position. */
 static void send_read(struct config_watch *w)
 {
 	w->call_sent_ms = clock_ms();
@@ -376,14 +376,14 @@
 {
 	bool ahead = store_position_cmp(m->pos, w->pos) > 0;
 
-	w->newest_mark = *m;
+	w->newest_progress = *m;
 	if (ahead)
 		record_behind(w, m->pos, now_ms);
 	if (!w->listed)
 		return CONFIG_NO_ACTION;
 	if (!ahead || m->pos.era != w->pos.era || !is_bookmark_valid(w))
 		return w->invalid_digest == m->digest ? CONFIG_NO_ACTION
-						      : CONFIG_ASK_PEER;
+						      : CONFIG_FETCH_FROM_PEER;
 	/* A call sent after that time returns it, however long it takes. */
 	if (w->store.call != STORE_NO_CALL && w->call_sent_ms < w->behind_ms &&
 	    now_ms - w->behind_ms > IN_TRANSIT_MS)
@@ -435,8 +435,8 @@
 /* config_watch_is_behind() returns whether a peer has a newer valid version. */
 bool config_watch_is_behind(const struct config_watch *w)
 {
-	return is_newer(w, &w->newest_mark) &&
-	       w->newest_mark.digest != w->invalid_digest;
+	return is_newer(w, &w->newest_progress) &&
+	       w->newest_progress.digest != w->invalid_digest;
 }
 
 /* config_watch_progress() returns the position and version read so far. */
--- a/control/config_watch.h
+++ b/control/config_watch.h
@@ -13,9 +13,9 @@
 
 /* How to get a version that a peer has reported. */
 enum config_action {
-	CONFIG_NO_ACTION,  /* nothing to do */
-	CONFIG_READ_STORE, /* the store has a record that is new here */
-	CONFIG_ASK_PEER,   /* the peer has one that the store may have lost */
+	CONFIG_NO_ACTION,	/* nothing to do */
+	CONFIG_READ_STORE,	/* the store has a record that is new here */
+	CONFIG_FETCH_FROM_PEER, /* it has one that the store may have lost */
 };
 
 struct config_watch {
@@ -27,14 +27,14 @@
 	uint32_t digest;   /* of that record */
 	bool listed;	   /* the newest version was read at least once */
 	bool relist;	   /* the store no longer has `pos` */
-	struct store_position pos;	    /* records before it are applied */
-	uint64_t version;		    /* the newest valid one; 0: none */
-	uint32_t invalid_digest;	    /* a peer's invalid record */
-	struct config_progress newest_mark; /* supersedes `version` */
-	unsigned failures;		    /* consecutive */
-	int64_t call_sent_ms;		    /* when the pending call was sent */
-	bool behind_hubs; /* the hubs detect when the store is back */
-	bool polls;	  /* a poll is to be pending at all times */
+	struct store_position pos; /* records before it are applied */
+	uint64_t version;	   /* the newest valid one; 0: none */
+	uint32_t invalid_digest;   /* a peer's invalid record */
+	struct config_progress newest_progress; /* supersedes `version` */
+	unsigned failures;			/* consecutive */
+	int64_t call_sent_ms; /* when the pending call was sent */
+	bool behind_hubs;     /* the hubs detect when the store is back */
+	bool polls;	      /* a poll is to be pending at all times */
 	int64_t fresh_ms; /* when the store last returned the newest record */
 	int64_t peer_confirmed_ms; /* a peer confirmed it as newest */
 	int64_t era_ms; /* when the store's present era was learned */
--- a/control/control.c
+++ b/control/control.c
@@ -142,7 +142,7 @@
 			 enum config_action need)
 {
 	/* If another fetch is pending, the next heartbeat tries again. */
-	if (need == CONFIG_ASK_PEER)
+	if (need == CONFIG_FETCH_FROM_PEER)
 		(void)peer_fetch_config(&c->peer_fetch, peer, true);
 	else if (need == CONFIG_READ_STORE &&
 		 (!hubs_enabled(&c->peers.peers) ||
@@ -290,7 +290,7 @@
 	control_publish_age(c);
 	control_publish_usage(c);
 	update_self(c, now_ms);
-	if (start_should_ask_peers(&start, store_failures))
+	if (start_should_fetch_from_peers(&start, store_failures))
 		peer_fetch_tick(&c->peer_fetch, store_failures > 0, now_ms);
 	send_feed(c,
 		  feeder_target_after_feed(&c->feeder, start.large, rank,
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -286,8 +286,8 @@
 }
 
 /* An instance that reports another crash doesn't know the verdict yet. */
-static void apply_end(struct crash_watch *w, const struct crash_notice *notice,
-		      int64_t now_ms)
+static void apply_crash(struct crash_watch *w,
+			const struct crash_notice *notice, int64_t now_ms)
 {
 	const struct crash_case *c =
 		crash_tracker_find(&w->tracker, notice->digest);
@@ -310,7 +310,7 @@
 
 	switch (notice->kind) {
 	case CRASH_NOTICE_CRASHED:
-		apply_end(w, notice, now_ms);
+		apply_crash(w, notice, now_ms);
 		break;
 	case CRASH_NOTICE_ANSWERED:
 		apply_answer(w, notice, now_ms);
--- a/control/start.c
+++ b/control/start.c
@@ -50,9 +50,12 @@
 	       !peers_can_help(v, now_ms);
 }
 
-/* start_should_ask_peers() returns whether to fetch a snapshot from a peer. */
-bool start_should_ask_peers(const struct start_state *v,
-			    unsigned store_failures)
+/*
+ * start_should_fetch_from_peers() returns whether to fetch a snapshot from a
+ * peer.
+ */
+bool start_should_fetch_from_peers(const struct start_state *v,
+				   unsigned store_failures)
 {
 	return !v->done && (v->large || store_failures >= STORE_FAILURES);
 }
--- a/control/start.h
+++ b/control/start.h
@@ -23,7 +23,7 @@
 };
 
 bool start_should_read_store(const struct start_state *v, int64_t now_ms);
-bool start_should_ask_peers(const struct start_state *v,
-			    unsigned store_failures);
+bool start_should_fetch_from_peers(const struct start_state *v,
+				   unsigned store_failures);
 
 #endif
--- a/tests/test_config_watch.c
+++ b/tests/test_config_watch.c
@@ -12,8 +12,8 @@
 static struct store_endpoint store;
 
 /* The report of a peer that knew the records before `offset` age_ms ago. */
-static struct config_progress mark(uint64_t version, uint64_t offset,
-				   uint32_t age_ms)
+static struct config_progress progress(uint64_t version, uint64_t offset,
+				       uint32_t age_ms)
 {
 	return (struct config_progress){.pos = {store.era, offset},
 					.age_ms = age_ms,
@@ -21,11 +21,11 @@
 					.digest = (uint32_t)version};
 }
 
-static enum config_action receive_mark(struct config_watch *w, uint64_t version,
-				       uint64_t offset, uint32_t age_ms,
-				       int64_t now_ms)
+static enum config_action receive_progress(struct config_watch *w,
+					   uint64_t version, uint64_t offset,
+					   uint32_t age_ms, int64_t now_ms)
 {
-	struct config_progress m = mark(version, offset, age_ms);
+	struct config_progress m = progress(version, offset, age_ms);
 
 	return config_watch_on_progress(w, &m, now_ms);
 }
@@ -68,7 +68,7 @@
 	applied = 0;
 }
 
-static void test_peer_mark(void **state)
+static void test_peer_progress(void **state)
 {
 	struct config_watch w;
 
@@ -76,20 +76,24 @@
 	/*
 	 * A peer that knows as much confirms that nothing was newer 300 ms ago.
 	 */
-	assert_int_equal(receive_mark(&w, 5, 10, 300, 10000), CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 5, 10, 300, 10000),
+			 CONFIG_NO_ACTION);
 	assert_int_equal(config_watch_age_ms(&w, 0, 10100), 400);
 	/*
 	 * Neither an older report nor a peer that knows less changes the age.
 	 */
-	assert_int_equal(receive_mark(&w, 5, 10, 2000, 10100),
+	assert_int_equal(receive_progress(&w, 5, 10, 2000, 10100),
+			 CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 5, 9, 0, 10200),
 			 CONFIG_NO_ACTION);
-	assert_int_equal(receive_mark(&w, 5, 9, 0, 10200), CONFIG_NO_ACTION);
 	assert_int_equal(config_watch_age_ms(&w, 0, 10200), 500);
 	/* A peer that knows more. */
-	assert_int_equal(receive_mark(&w, 6, 12, 0, 10300), CONFIG_READ_STORE);
+	assert_int_equal(receive_progress(&w, 6, 12, 0, 10300),
+			 CONFIG_READ_STORE);
 	/* Before the first read, the startup decides what to do. */
 	w.listed = false;
-	assert_int_equal(receive_mark(&w, 6, 12, 0, 10300), CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 6, 12, 0, 10300),
+			 CONFIG_NO_ACTION);
 	buf_free(&w.record);
 }
 
@@ -132,15 +136,17 @@
 	ev_timer_set(&w.retry, 3, 0);
 	ev_timer_start(w.loop, &w.retry);
 	w.failures = 4;
-	assert_int_equal(receive_mark(&w, 5, 10, 300, 10000), CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 5, 10, 300, 10000),
+			 CONFIG_NO_ACTION);
 	assert_true(ev_is_active(&w.retry));
-	assert_int_equal(receive_mark(&w, 6, 11, 300, 10000),
+	assert_int_equal(receive_progress(&w, 6, 11, 300, 10000),
 			 CONFIG_READ_STORE);
 	assert_false(ev_is_active(&w.retry));
 	/* The pause after a version isn't shortened. */
 	ev_timer_start(w.loop, &w.retry);
 	w.failures = 0;
-	assert_int_equal(receive_mark(&w, 6, 12, 300, 10000), CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 6, 12, 300, 10000),
+			 CONFIG_NO_ACTION);
 	ev_timer_stop(w.loop, &w.retry);
 	buf_free(&w.record);
 }
@@ -160,11 +166,12 @@
 	w.store.call = STORE_READ;
 	w.call_sent_ms = 9000;
 	for (int64_t now = 10000; now <= 10700; now += 100)
-		assert_int_equal(receive_mark(&w, 6, 12, 0, now),
+		assert_int_equal(receive_progress(&w, 6, 12, 0, now),
 				 CONFIG_NO_ACTION);
 	assert_int_equal(w.store.call, STORE_READ);
 	/* No answer came: the read is repeated on another connection. */
-	assert_int_equal(receive_mark(&w, 6, 12, 0, 10800), CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 6, 12, 0, 10800),
+			 CONFIG_NO_ACTION);
 	assert_int_equal(w.store.call, STORE_NO_CALL);
 	assert_true(ev_is_active(&w.retry));
 	ev_timer_stop(w.loop, &w.retry);
@@ -172,7 +179,7 @@
 	w.store.call = STORE_READ;
 	w.call_sent_ms = 10800;
 	for (int64_t now = 10900; now <= 12900; now += 100)
-		assert_int_equal(receive_mark(&w, 6, 12, 0, now),
+		assert_int_equal(receive_progress(&w, 6, 12, 0, now),
 				 CONFIG_NO_ACTION);
 	assert_int_equal(w.store.call, STORE_READ);
 	buf_free(&w.record);
@@ -254,14 +261,17 @@
 	init(&w, "19", 7);
 	raise_era(&w, 1);
 	/* Peers that know no more provide a position in the new log. */
-	assert_int_equal(receive_mark(&w, 19, 4, 10, 20100), CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 19, 4, 10, 20100),
+			 CONFIG_NO_ACTION);
 	assert_int_equal(w.pos.offset, 4);
-	assert_int_equal(receive_mark(&w, 21, 5, 10, 20200), CONFIG_READ_STORE);
+	assert_int_equal(receive_progress(&w, 21, 5, 10, 20200),
+			 CONFIG_READ_STORE);
 	/*
 	 * Without one, the peer is asked, as if the store lacked the version.
 	 */
 	w.pos = (struct store_position){0, 7};
-	assert_int_equal(receive_mark(&w, 21, 5, 10, 20200), CONFIG_ASK_PEER);
+	assert_int_equal(receive_progress(&w, 21, 5, 10, 20200),
+			 CONFIG_FETCH_FROM_PEER);
 	assert_int_equal(config_watch_apply_peer(&w, LSTR("21"), at(5), 20200),
 			 0);
 	assert_int_equal(w.version, 21);
@@ -273,14 +283,15 @@
 static void test_version_missing_from_backup(void **state)
 {
 	struct config_watch w;
-	struct config_progress old = mark(21, 9, 10);
+	struct config_progress old = progress(21, 9, 10);
 
 	init(&w, "19", 7);
 	raise_era(&w, 1);
-	assert_int_equal(receive_mark(&w, 19, 4, 10, 20100), CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 19, 4, 10, 20100),
+			 CONFIG_NO_ACTION);
 	assert_false(config_watch_is_behind(&w));
 	assert_int_equal(config_watch_on_progress(&w, &old, 20200),
-			 CONFIG_ASK_PEER);
+			 CONFIG_FETCH_FROM_PEER);
 	assert_true(config_watch_is_behind(&w));
 	assert_int_equal(
 		config_watch_apply_peer(&w, LSTR("21"), old.pos, 20200), 0);
@@ -358,7 +369,7 @@
 
 static void test_age_unknown_until_confirmed_in_era(void **state)
 {
-	struct config_progress old = mark(5, 10, 10);
+	struct config_progress old = progress(5, 10, 10);
 	struct config_watch w;
 
 	init(&w, "5", 10);
@@ -373,10 +384,11 @@
 	/* Nor does a peer that is still in the old era. */
 	assert_int_equal(config_watch_on_progress(&w, &old, 20000),
 			 CONFIG_NO_ACTION);
-	assert_int_equal(receive_mark(&w, 5, 3, AGE_UNKNOWN, 20100),
+	assert_int_equal(receive_progress(&w, 5, 3, AGE_UNKNOWN, 20100),
 			 CONFIG_NO_ACTION);
 	assert_true(config_watch_age_ms(&w, 0, 20100) > 10000);
-	assert_int_equal(receive_mark(&w, 5, 3, 40, 20100), CONFIG_NO_ACTION);
+	assert_int_equal(receive_progress(&w, 5, 3, 40, 20100),
+			 CONFIG_NO_ACTION);
 	assert_int_equal(config_watch_age_ms(&w, 0, 20100), 40);
 	buf_free(&w.record);
 }
@@ -469,7 +481,7 @@
 					  reset_store),
 		cmocka_unit_test(test_offset_at_change),
 		cmocka_unit_test(test_polls_differ),
-		cmocka_unit_test(test_peer_mark),
+		cmocka_unit_test(test_peer_progress),
 		cmocka_unit_test(test_peer_record),
 		cmocka_unit_test(test_peer_mark_after_failure),
 		cmocka_unit_test(test_slow_answer),
--- a/tests/test_crash_check.c
+++ b/tests/test_crash_check.c
@@ -189,7 +189,7 @@
 
 	bench_run_ms(b, 3500);
 	assert_int_equal(notice_count, 0);
-	assert_int_equal(b->traffic.counters.end_checks, 6);
+	assert_int_equal(b->traffic.counters.process_checks, 6);
 	bench_free(b);
 }
 
@@ -244,7 +244,7 @@
 	bench_run_ms(b, 20);
 	assert_int_equal(notice_count, 1);
 	assert_int_equal(notices[0].detail, start);
-	assert_int_equal(b->traffic.counters.end_checks, 0);
+	assert_int_equal(b->traffic.counters.process_checks, 0);
 	bench_free(b);
 }
 
--- a/tests/test_server_backoff.c
+++ b/tests/test_server_backoff.c
@@ -39,7 +39,7 @@
 }
 
 /* Calls until server i has rejected a request and asked to back off. */
-static void ask_to_back_off(struct bench *b, int i, const char *header)
+static void trigger_backoff(struct bench *b, int i, const char *header)
 {
 	b->servers[i].script = SCRIPT_REFUSE;
 	b->servers[i].extra_headers = header;
@@ -76,11 +76,12 @@
 
 static void test_no_requests_during_backoff(void **state)
 {
-	for (int told = 0; told < 2; told++) {
+	for (int reported = 0; reported < 2; reported++) {
 		struct bench *b = bench_new(2);
 
-		b->servers[0].reports_load = b->servers[1].reports_load = told;
-		ask_to_back_off(b, 0, "Retry-After: 0.5\r\n");
+		b->servers[0].reports_load = b->servers[1].reports_load =
+			reported;
+		trigger_backoff(b, 0, "Retry-After: 0.5\r\n");
 		assert_gets_nothing(b, 0, 450);
 		assert_serves(b, 0, 600);
 		bench_free(b);
@@ -93,7 +94,7 @@
 	struct backend *s =
 		g_hash_table_lookup(b->traffic.backends.by_id, "i-0");
 
-	ask_to_back_off(b, 0, "Retry-After: 0.3\r\nServer-Load: 0,0,2,100\r\n");
+	trigger_backoff(b, 0, "Retry-After: 0.3\r\nServer-Load: 0,0,2,100\r\n");
 	assert_int_equal(s->load.at_ms, 0);
 	bench_free(b);
 }
@@ -102,7 +103,7 @@
 {
 	struct bench *b = bench_new(2);
 
-	ask_to_back_off(b, 0, "Retry-After: 0.5\r\n");
+	trigger_backoff(b, 0, "Retry-After: 0.5\r\n");
 	list_again(b, 0);
 	assert_gets_nothing(b, 0, 400);
 	assert_serves(b, 0, 600);
@@ -114,7 +115,7 @@
 {
 	struct bench *b = bench_new(2);
 
-	ask_to_back_off(b, 0, "Retry-After: 30\r\n");
+	trigger_backoff(b, 0, "Retry-After: 30\r\n");
 	bench_restart(b, 0, 5000);
 	assert_serves(b, 0, 300);
 	bench_free(b);
@@ -176,7 +177,7 @@
 {
 	struct bench *b = bench_new(2);
 
-	ask_to_back_off(b, 0, "Retry-After: Wed, 21 Oct 2015 07:28:00 GMT\r\n");
+	trigger_backoff(b, 0, "Retry-After: Wed, 21 Oct 2015 07:28:00 GMT\r\n");
 	assert_true(b->traffic.counters.invalid_values > 0);
 	assert_serves(b, 0, 300);
 	bench_free(b);
@@ -186,8 +187,8 @@
 {
 	struct bench *b = bench_new(2);
 
-	ask_to_back_off(b, 0, "Retry-After: 4\r\n");
-	ask_to_back_off(b, 1, "Retry-After: 2\r\n");
+	trigger_backoff(b, 0, "Retry-After: 4\r\n");
+	trigger_backoff(b, 1, "Retry-After: 2\r\n");
 	for (int i = 0; i < 5; i++) {
 		int64_t t0 = clock_ms();
 		struct caller *c = bench_call(b, i % 2 ? "GET" : "POST", 20000);
@@ -207,7 +208,7 @@
 	struct bench *b = bench_new(1);
 	struct caller *c;
 
-	ask_to_back_off(b, 0, "Retry-After: 0.04\r\n");
+	trigger_backoff(b, 0, "Retry-After: 0.04\r\n");
 	c = bench_call(b, "POST", 1000);
 	bench_run_until(b, c);
 	assert_int_equal(c->status, 200);
--- a/tests/test_start.c
+++ b/tests/test_start.c
@@ -22,12 +22,12 @@
 	assert_false(start_should_read_store(&v, 1050));
 	v.members_read = true;
 	assert_true(start_should_read_store(&v, 1060));
-	assert_false(start_should_ask_peers(&v, 0));
+	assert_false(start_should_fetch_from_peers(&v, 0));
 	/* The store doesn't answer: use both the store and peers. */
 	v.members_read = false;
 	v.member_failures = 1;
 	assert_true(start_should_read_store(&v, 2100));
-	assert_true(start_should_ask_peers(&v, 1));
+	assert_true(start_should_fetch_from_peers(&v, 1));
 }
 
 static void test_large(void **state)
@@ -35,7 +35,7 @@
 	struct start_state v = large;
 
 	assert_false(start_should_read_store(&v, 1100));
-	assert_true(start_should_ask_peers(&v, 0));
+	assert_true(start_should_fetch_from_peers(&v, 0));
 	/* The first two read the store, so that others can ask them. */
 	v.rank = 1;
 	assert_true(start_should_read_store(&v, 1100));
@@ -68,7 +68,7 @@
 
 	v.failed_fetches = 1;
 	assert_true(start_should_read_store(&v, 1100));
-	assert_true(start_should_ask_peers(&v, 0));
+	assert_true(start_should_fetch_from_peers(&v, 0));
 	v.first_start = true;
 	assert_false(start_should_read_store(&v, 1100));
 }
@@ -79,7 +79,7 @@
 
 	v.done = true;
 	assert_true(start_should_read_store(&v, 1100));
-	assert_false(start_should_ask_peers(&v, 3));
+	assert_false(start_should_fetch_from_peers(&v, 3));
 }
 
 int main(void)
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -122,7 +122,8 @@
 	ev_timer_start(c->traffic->loop, &c->retry_timer);
 }
 
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_verdict classify_response(void *priv,
+					   const struct http_message *m)
 {
 	return HTTP_TAKE;
 }
@@ -166,7 +167,7 @@
 	return !is_backing_off(c->backend);
 }
 
-static const struct http_client_ops ops = {.judge = judge,
+static const struct http_client_ops ops = {.judge = classify_response,
 					   .response = on_response,
 					   .failed = on_failed,
 					   .may_send = may_send};
@@ -193,7 +194,7 @@
 	http_client_send(&c->http, buf_lstr(&request), RESPONSE_TIMEOUT_S,
 			 false);
 	buf_free(&request);
-	t->counters.end_checks++;
+	t->counters.process_checks++;
 	return 0;
 }
 
--- a/traffic/metrics.c
+++ b/traffic/metrics.c
@@ -151,7 +151,8 @@
 		   n->probe_failures);
 	buf_printf(out, "foreign_answers %" G_GUINT64_FORMAT "\n",
 		   n->foreign_answers);
-	buf_printf(out, "end_checks %" G_GUINT64_FORMAT "\n", n->end_checks);
+	buf_printf(out, "end_checks %" G_GUINT64_FORMAT "\n",
+		   n->process_checks);
 	buf_printf(out, "backend_ends %" G_GUINT64_FORMAT "\n",
 		   n->process_ends);
 	buf_printf(out, "limits_bad %" G_GUINT64_FORMAT "\n", n->limits_bad);
--- a/traffic/probe.c
+++ b/traffic/probe.c
@@ -45,8 +45,8 @@
 	r->nprobes = 0;
 }
 
-static enum http_verdict probe_judge(void *owner,
-				     const struct answer_info *info)
+static enum http_verdict probe_classify(void *owner,
+					const struct answer_info *info)
 {
 	struct probe *p = owner;
 
@@ -165,7 +165,7 @@
 	probe_done(p, now_ms);
 }
 
-static const struct upstream_ops probe_ops = {probe_judge, probe_response,
+static const struct upstream_ops probe_ops = {probe_classify, probe_response,
 					      probe_failed};
 
 /* Probes b for its load on behalf of a request. */
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -46,7 +46,8 @@
 	}
 }
 
-static enum http_verdict send_judge(void *owner, const struct answer_info *info)
+static enum http_verdict send_classify(void *owner,
+				       const struct answer_info *info)
 {
 	struct send *s = owner;
 
@@ -228,7 +229,7 @@
 			  err == -ETIMEDOUT ? "timeout" : "connection broke");
 }
 
-static const struct upstream_ops send_ops = {send_judge, send_response,
+static const struct upstream_ops send_ops = {send_classify, send_response,
 					     send_failed};
 
 /* Counts a send; an extra one is charged to the retry budget. */
--- a/traffic/upstream.c
+++ b/traffic/upstream.c
@@ -53,14 +53,15 @@
 }
 
 /* Applies the server's feedback even if the owner skips the response. */
-static enum http_verdict judge(void *priv, const struct http_message *m)
+static enum http_verdict classify_response(void *priv,
+					   const struct http_message *m)
 {
 	struct upstream *u = priv;
 	struct feedback f = {.sent_ms = u->sent_ms, .probe = u->is_probe};
 	enum http_verdict verdict;
 
 	exchange_read_answer(m, &f.info);
-	verdict = u->ops->judge(u->owner, &f.info);
+	verdict = u->ops->classify(u->owner, &f.info);
 	f.solicited = verdict == HTTP_TAKE;
 	feedback_apply(u->traffic, u->backend, &f);
 	return verdict;
@@ -104,8 +105,8 @@
 		ops->failed(owner, err, sent);
 }
 
-static const struct http_client_ops client_ops = {judge, on_response, on_failed,
-						  may_send, on_unsolicited};
+static const struct http_client_ops client_ops = {
+	classify_response, on_response, on_failed, may_send, on_unsolicited};
 
 static struct upstream *open_connection(struct traffic *t, struct backend *b)
 {
--- a/traffic/upstream.h
+++ b/traffic/upstream.h
@@ -12,7 +12,8 @@
 /* Callbacks of a connection's owner. */
 struct upstream_ops {
 	/* Decides whether a response is the awaited one. */
-	enum http_verdict (*judge)(void *owner, const struct answer_info *info);
+	enum http_verdict (*classify)(void *owner,
+				      const struct answer_info *info);
 	/* The awaited response with its decoded fields; the callee frees m. */
 	void (*response)(void *owner, struct http_message *m,
 			 const struct answer_info *info);
