--- a/control/config_watch.c
+++ b/control/config_watch.c
@@ -20,8 +20,8 @@
 	POLL_WAIT_MIN_MS = 1750,
 	ANSWER_MARGIN_MS = 500, /* after the wait; answers come no later */
 	/*
-	 * The first instances poll, and the others hear from them about four
-	 * times a second. An instance that hears nothing for this long polls
+	 * The first instances poll, and report to the others about four times
+	 * a second. An instance that receives no report for this long polls
 	 * too.
 	 */
 	SILENCE_MS = 1000,
@@ -46,7 +46,7 @@
 	RETRY_MAX_MS = 800,
 	/*
 	 * The hubs retry often and report when the store is back; an instance
-	 * that hears from none must have a version in force within 5 s.
+	 * that receives no report must have a version in force within 5 s.
 	 */
 	RETRY_BEHIND_HUBS_MS = 2800,
 };
@@ -162,10 +162,10 @@
 
 /*
  * config_watch_import() applies a peer's newest record, which precedes `pos`
- * and was the newest at told_ms; reading continues from there.
+ * and was the newest at confirmed_ms; reading continues from there.
  */
 void config_watch_import(struct config_watch *w, struct lstr record,
-			 struct store_position pos, int64_t told_ms)
+			 struct store_position pos, int64_t confirmed_ms)
 {
 	struct store_record rec = {
 		.pos = pos, .key = lstr0(w->source.key), .value = record};
@@ -179,7 +179,7 @@
 	apply(w, c, &rec, "peer");
 	w->pos = pos;
 	w->listed = true;
-	w->peer_confirmed_ms = told_ms;
+	w->peer_confirmed_ms = confirmed_ms;
 }
 
 /*
@@ -262,7 +262,7 @@
 	return w->pos.era == w->store.store->era;
 }
 
-/* Sends a long poll, or asks for the newest record if there is no position. */
+/* Sends a long poll, or a read of the newest record without a position. */
 static void send_read(struct config_watch *w)
 {
 	w->call_sent_ms = clock_ms();
@@ -281,19 +281,19 @@
 
 /*
  * config_watch_tick() polls when it is this instance's turn (`first`), or when
- * no peer has confirmed the newest version for a while. Without `may_ask` it
+ * no peer has confirmed the newest version for a while. Without `may_poll` it
  * waits for a peer's version to be imported. Call it about every 0.1 s.
  */
-void config_watch_tick(struct config_watch *w, bool may_ask, bool first,
+void config_watch_tick(struct config_watch *w, bool may_poll, bool first,
 		       int64_t now_ms)
 {
 	int silence_ms = w->behind_hubs ? SILENCE_BEHIND_HUBS_MS : SILENCE_MS;
 	/*
 	 * After a change of era, the polling instances get time to read first.
 	 */
-	int64_t heard_ms = MAX(w->peer_confirmed_ms, w->era_ms);
+	int64_t confirmed_ms = MAX(w->peer_confirmed_ms, w->era_ms);
 
-	w->polls = may_ask && (first || now_ms - heard_ms > silence_ms);
+	w->polls = may_poll && (first || now_ms - confirmed_ms > silence_ms);
 	if (w->polls && is_idle(w))
 		send_read(w);
 }
@@ -307,7 +307,7 @@
 
 /* Takes over a peer's position, if it belongs to the present era. */
 static void advance(struct config_watch *w, struct store_position pos,
-		    int64_t told_ms)
+		    int64_t confirmed_ms)
 {
 	if (pos.era != w->store.store->era)
 		return;
@@ -316,8 +316,8 @@
 		w->relist = false;
 	}
 	if (store_position_cmp(pos, w->pos) == 0 &&
-	    told_ms > w->peer_confirmed_ms)
-		w->peer_confirmed_ms = told_ms;
+	    confirmed_ms > w->peer_confirmed_ms)
+		w->peer_confirmed_ms = confirmed_ms;
 }
 
 /*
@@ -326,7 +326,7 @@
  * less than this instance, so that the store must be read.
  */
 int config_watch_apply_peer(struct config_watch *w, struct lstr record,
-			    struct store_position pos, int64_t told_ms)
+			    struct store_position pos, int64_t confirmed_ms)
 {
 	struct store_record rec = {
 		.pos = pos, .key = lstr0(w->source.key), .value = record};
@@ -340,7 +340,7 @@
 		if (ahead && pos.era == w->pos.era)
 			return -ESTALE;
 	}
-	advance(w, pos, told_ms);
+	advance(w, pos, confirmed_ms);
 	return 0;
 }
 
@@ -376,14 +376,14 @@
 {
 	bool ahead = store_position_cmp(m->pos, w->pos) > 0;
 
-	w->newest_mark = *m;
+	w->newest_progress = *m;
 	if (ahead)
 		record_behind(w, m->pos, now_ms);
 	if (!w->listed)
 		return CONFIG_NO_ACTION;
 	if (!ahead || m->pos.era != w->pos.era || !is_bookmark_valid(w))
 		return w->invalid_digest == m->digest ? CONFIG_NO_ACTION
-						      : CONFIG_ASK_PEER;
+						      : CONFIG_FETCH_FROM_PEER;
 	/* A call sent after that time returns it, however long it takes. */
 	if (w->store.call != STORE_IDLE && w->call_sent_ms < w->behind_ms &&
 	    now_ms - w->behind_ms > IN_TRANSIT_MS)
@@ -395,13 +395,13 @@
 }
 
 /*
- * config_watch_on_mark() handles a peer's report of how far it knows the
+ * config_watch_on_progress() handles a peer's report of how far it knows the
  * configuration. Returns the action needed to get a version that is new here
  * and that no pending call will return.
  */
-enum config_action config_watch_on_mark(struct config_watch *w,
-					const struct config_progress *m,
-					int64_t now_ms)
+enum config_action config_watch_on_progress(struct config_watch *w,
+					    const struct config_progress *m,
+					    int64_t now_ms)
 {
 	if (is_newer(w, m))
 		return choose_action(w, m, now_ms);
@@ -435,13 +435,13 @@
 /* config_watch_is_behind() returns whether a peer has a newer valid version. */
 bool config_watch_is_behind(const struct config_watch *w)
 {
-	return is_newer(w, &w->newest_mark) &&
-	       w->newest_mark.digest != w->invalid_digest;
+	return is_newer(w, &w->newest_progress) &&
+	       w->newest_progress.digest != w->invalid_digest;
 }
 
-/* config_watch_mark() returns how far this instance knows the configuration. */
-struct config_progress config_watch_mark(const struct config_watch *w,
-					 int64_t store_ms, int64_t now_ms)
+/* config_watch_progress() returns the position and version read so far. */
+struct config_progress config_watch_progress(const struct config_watch *w,
+					     int64_t store_ms, int64_t now_ms)
 {
 	return (struct config_progress){
 		.pos = w->pos,
--- a/control/config_watch.h
+++ b/control/config_watch.h
@@ -1,9 +1,9 @@
 /*
  * Follows the configuration in the platform's store. The first instances keep a
  * long poll open; the others learn from them which records exist, read those
- * that are new, and poll as well if they hear nothing. Versions are ordered by
- * their number alone. A position is valid in one era of the store, which may be
- * restored from a backup that lacks versions known here.
+ * that are new, and poll as well if they receive no reports. Versions are
+ * ordered by their number alone. A position is valid in one era of the store,
+ * which may be restored from a backup that lacks versions known here.
  */
 #ifndef MP_CONTROL_CONFIG_WATCH_H
 #define MP_CONTROL_CONFIG_WATCH_H
@@ -13,9 +13,9 @@
 
 /* How to get a version that a peer has reported. */
 enum config_action {
-	CONFIG_NO_ACTION,  /* nothing to do */
-	CONFIG_READ_STORE, /* the store has a record that is new here */
-	CONFIG_ASK_PEER,   /* the peer has one that the store may have lost */
+	CONFIG_NO_ACTION,	/* nothing to do */
+	CONFIG_READ_STORE,	/* the store has a record that is new here */
+	CONFIG_FETCH_FROM_PEER, /* it has one that the store may have lost */
 };
 
 struct config_watch {
@@ -27,14 +27,14 @@
 	uint32_t digest;   /* of that record */
 	bool listed;	   /* the newest version was read at least once */
 	bool relist;	   /* the store no longer has `pos` */
-	struct store_position pos;	    /* records before it are applied */
-	uint64_t version;		    /* the newest valid one; 0: none */
-	uint32_t invalid_digest;	    /* a peer's invalid record */
-	struct config_progress newest_mark; /* supersedes `version` */
-	unsigned failures;		    /* consecutive */
-	int64_t call_sent_ms;		    /* when the pending call was sent */
-	bool behind_hubs; /* the hubs detect when the store is back */
-	bool polls;	  /* a poll is to be pending at all times */
+	struct store_position pos; /* records before it are applied */
+	uint64_t version;	   /* the newest valid one; 0: none */
+	uint32_t invalid_digest;   /* a peer's invalid record */
+	struct config_progress newest_progress; /* supersedes `version` */
+	unsigned failures;			/* consecutive */
+	int64_t call_sent_ms; /* when the pending call was sent */
+	bool behind_hubs;     /* the hubs detect when the store is back */
+	bool polls;	      /* a poll is to be pending at all times */
 	int64_t fresh_ms; /* when the store last returned the newest record */
 	int64_t peer_confirmed_ms; /* a peer confirmed it as newest */
 	int64_t era_ms; /* when the store's present era was learned */
@@ -51,19 +51,19 @@
 			void (*changed)(void *priv, struct config *c),
 			void *priv);
 void config_watch_import(struct config_watch *w, struct lstr record,
-			 struct store_position pos, int64_t told_ms);
-void config_watch_tick(struct config_watch *w, bool may_ask, bool first,
+			 struct store_position pos, int64_t confirmed_ms);
+void config_watch_tick(struct config_watch *w, bool may_poll, bool first,
 		       int64_t now_ms);
 void config_watch_read(struct config_watch *w);
 int config_watch_apply_peer(struct config_watch *w, struct lstr record,
-			    struct store_position pos, int64_t told_ms);
-enum config_action config_watch_on_mark(struct config_watch *w,
-					const struct config_progress *m,
-					int64_t now_ms);
+			    struct store_position pos, int64_t confirmed_ms);
+enum config_action config_watch_on_progress(struct config_watch *w,
+					    const struct config_progress *m,
+					    int64_t now_ms);
 bool config_watch_is_behind(const struct config_watch *w);
 void config_watch_new_era(struct config_watch *w, int64_t now_ms);
-struct config_progress config_watch_mark(const struct config_watch *w,
-					 int64_t store_ms, int64_t now_ms);
+struct config_progress config_watch_progress(const struct config_watch *w,
+					     int64_t store_ms, int64_t now_ms);
 uint32_t config_watch_age_ms(const struct config_watch *w, int64_t store_ms,
 			     int64_t now_ms);
 void config_watch_restart(struct config_watch *w);
--- a/control/crash_watch.c
+++ b/control/crash_watch.c
@@ -27,7 +27,7 @@
 
 /* News to be sent repeatedly to the other instances. */
 struct broadcast {
-	struct crash_notice news;
+	struct crash_notice notice;
 	unsigned sends_left;
 	int64_t next_ms;
 	int64_t interval_ms;
@@ -57,7 +57,7 @@
 		 c->digest, change_info[change].name,
 		 w->source ? w->source : "-", c->nservers, c->periods,
 		 now_ms - c->last_crash_ms, c->due_ms ? c->due_ms - now_ms : 0,
-		 g_hash_table_size(w->ledger.cases));
+		 g_hash_table_size(w->tracker.cases));
 }
 
 static void send_verdict(struct crash_watch *w, const struct crash_case *c,
@@ -75,20 +75,21 @@
 /* Evidence goes to the instances that decide, verdicts go to all. */
 static bool goes_to_all(const struct crash_watch *w, const struct broadcast *t)
 {
-	if (!w->large || t->news.kind == CRASH_NOTICE_QUARANTINE)
+	if (!w->large || t->notice.kind == CRASH_NOTICE_QUARANTINE)
 		return true;
-	return t->news.kind == CRASH_NOTICE_ANSWERED && w->rank < HUB_COUNT;
+	return t->notice.kind == CRASH_NOTICE_ANSWERED && w->rank < HUB_COUNT;
 }
 
-/* Sends one datagram of news to all live peers or to the hubs. */
-static void send_news(struct crash_watch *w, const struct crash_notice *news,
-		      unsigned n, bool to_all, int64_t now_ms)
+/* Sends one datagram of notices to all live peers or to the hubs. */
+static void send_updates(struct crash_watch *w,
+			 const struct crash_notice *notices, unsigned n,
+			 bool to_all, int64_t now_ms)
 {
 	struct buf b = {0};
 
 	if (!n)
 		return;
-	gossip_write_crashes(&b, &w->channel->peers.self, news, n);
+	gossip_write_crashes(&b, &w->channel->peers.self, notices, n);
 	if (to_all)
 		peer_channel_send_live(w->channel, &b, now_ms);
 	else
@@ -99,7 +100,7 @@
 /* Sends the due broadcasts that go to all, or those that go to the hubs. */
 static void send_due(struct crash_watch *w, bool to_all, int64_t now_ms)
 {
-	struct crash_notice news[CRASH_NOTICES_MAX];
+	struct crash_notice notices[CRASH_NOTICES_MAX];
 	unsigned n = 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
@@ -108,13 +109,13 @@
 
 		if (t->next_ms > now_ms || goes_to_all(w, t) != to_all)
 			continue;
-		news[n++] = t->news;
+		notices[n++] = t->notice;
 		if (n < CRASH_NOTICES_MAX)
 			continue;
-		send_news(w, news, n, to_all, now_ms);
+		send_updates(w, notices, n, to_all, now_ms);
 		n = 0;
 	}
-	send_news(w, news, n, to_all, now_ms);
+	send_updates(w, notices, n, to_all, now_ms);
 }
 
 /* Schedules the next repetition of the broadcasts that were sent. */
@@ -147,7 +148,7 @@
 /* Sets the timer to the next decision or broadcast. */
 static void arm(struct crash_watch *w, int64_t now_ms)
 {
-	int64_t due = decides(w) ? crash_tracker_due_ms(&w->ledger) : 0;
+	int64_t due = decides(w) ? crash_tracker_due_ms(&w->tracker) : 0;
 
 	for (guint i = 0; i < w->broadcasts->len; i++) {
 		int64_t next = g_array_index(w->broadcasts, struct broadcast, i)
@@ -168,7 +169,7 @@
 	int64_t now_ms = clock_ms();
 
 	if (decides(w))
-		crash_tracker_decide(&w->ledger, now_ms);
+		crash_tracker_decide(&w->tracker, now_ms);
 	send_due(w, true, now_ms);
 	send_due(w, false, now_ms);
 	schedule_repeats(w, now_ms);
@@ -187,17 +188,17 @@
 		const struct broadcast *t =
 			&g_array_index(w->broadcasts, struct broadcast, i - 1);
 
-		if (t->news.digest == digest)
+		if (t->notice.digest == digest)
 			g_array_remove_index(w->broadcasts, i - 1);
 	}
 }
 
 /* Schedules a repeated broadcast; it is sent from the event loop. */
 static void add_broadcast(struct crash_watch *w,
-			  const struct crash_notice *news, unsigned times)
+			  const struct crash_notice *notice, unsigned times)
 {
 	int64_t now_ms = clock_ms();
-	struct broadcast t = {.news = *news,
+	struct broadcast t = {.notice = *notice,
 			      .sends_left = times,
 			      .next_ms = now_ms,
 			      .interval_ms = times > EVIDENCE_SENDS
@@ -210,7 +211,7 @@
 	arm(w, now_ms);
 }
 
-static struct crash_notice verdict_news(const struct crash_case *c)
+static struct crash_notice verdict_notice(const struct crash_case *c)
 {
 	return (struct crash_notice){CRASH_NOTICE_QUARANTINE, c->digest,
 				     c->periods};
@@ -223,16 +224,16 @@
  */
 static void announce(struct crash_watch *w, const struct crash_case *c)
 {
-	struct crash_notice news = verdict_news(c);
+	struct crash_notice notice = verdict_notice(c);
 
 	if (c->periods > 1 || w->rank >= HUB_COUNT)
 		return;
 	if (!w->from_store)
-		crash_record_put(&w->record, &news);
+		crash_record_put(&w->record, &notice);
 	if (w->source)
 		return;
 	cancel_broadcasts(w, c->digest);
-	add_broadcast(w, &news, VERDICT_SENDS);
+	add_broadcast(w, &notice, VERDICT_SENDS);
 }
 
 /*
@@ -242,15 +243,15 @@
 static void drop_record(struct crash_watch *w, const struct crash_case *c,
 			enum crash_change change)
 {
-	struct crash_notice news = {CRASH_NOTICE_ANSWERED, c->digest, 0};
+	struct crash_notice notice = {CRASH_NOTICE_ANSWERED, c->digest, 0};
 	bool writer = change == CRASH_RELEASED ? !w->source : w->rank == 0;
 
 	if (c->quarantined &&
 	    (writer || crash_record_is_pending(&w->record, c->digest)))
-		crash_record_put(&w->record, &news);
+		crash_record_put(&w->record, &notice);
 }
 
-/* Handles a change of a case in the ledger. */
+/* Handles a change of a case in the tracker. */
 static void on_change(void *priv, const struct crash_case *c,
 		      enum crash_change change, int64_t now_ms)
 {
@@ -265,92 +266,93 @@
 }
 
 /* An answer matters only for a request that has a case. */
-static void apply_answer(struct crash_watch *w, const struct crash_notice *news,
-			 int64_t now_ms)
+static void apply_answer(struct crash_watch *w,
+			 const struct crash_notice *notice, int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_tracker_find(&w->ledger, news->digest);
+		crash_tracker_find(&w->tracker, notice->digest);
 	bool verdict = c && c->quarantined;
 
 	if (!c)
 		return;
-	cancel_broadcasts(w, news->digest);
+	cancel_broadcasts(w, notice->digest);
 	/*
 	 * In a large system the hubs forward answers that end their verdicts.
 	 */
 	if (!w->source || (verdict && w->large && w->rank < HUB_COUNT))
-		add_broadcast(w, news,
+		add_broadcast(w, notice,
 			      verdict ? VERDICT_SENDS : EVIDENCE_SENDS);
-	crash_tracker_add_answer(&w->ledger, news->digest, now_ms);
+	crash_tracker_add_answer(&w->tracker, notice->digest, now_ms);
 }
 
-/* An instance that reports another end doesn't know the verdict yet. */
-static void apply_end(struct crash_watch *w, const struct crash_notice *news,
-		      int64_t now_ms)
+/* An instance that reports another crash doesn't know the verdict yet. */
+static void apply_crash(struct crash_watch *w,
+			const struct crash_notice *notice, int64_t now_ms)
 {
 	const struct crash_case *c =
-		crash_tracker_find(&w->ledger, news->digest);
+		crash_tracker_find(&w->tracker, notice->digest);
 	struct crash_notice verdict;
 
 	if (c && c->quarantined && w->source && w->rank < HUB_COUNT) {
-		verdict = verdict_news(c);
+		verdict = verdict_notice(c);
 		add_broadcast(w, &verdict, 1);
 	}
 	if (!w->source)
-		add_broadcast(w, news, EVIDENCE_SENDS);
-	crash_tracker_add_crash(&w->ledger, news->digest, news->detail, now_ms);
+		add_broadcast(w, notice, EVIDENCE_SENDS);
+	crash_tracker_add_crash(&w->tracker, notice->digest, notice->detail,
+				now_ms);
 }
 
-/* Applies one item of news to the ledger. */
-static void apply(struct crash_watch *w, const struct crash_notice *news)
+/* Applies one notice to the tracker. */
+static void apply(struct crash_watch *w, const struct crash_notice *notice)
 {
 	int64_t now_ms = clock_ms();
 
-	switch (news->kind) {
+	switch (notice->kind) {
 	case CRASH_NOTICE_CRASHED:
-		apply_end(w, news, now_ms);
+		apply_crash(w, notice, now_ms);
 		break;
 	case CRASH_NOTICE_ANSWERED:
-		apply_answer(w, news, now_ms);
+		apply_answer(w, notice, now_ms);
 		break;
 	case CRASH_NOTICE_QUARANTINE:
-		crash_tracker_quarantine(&w->ledger, news->digest, news->detail,
-					 now_ms);
+		crash_tracker_quarantine(&w->tracker, notice->digest,
+					 notice->detail, now_ms);
 		break;
 	}
 	arm(w, now_ms);
 }
 
-/* crash_watch_add_local() handles news from this instance's own traffic. */
+/* crash_watch_add_local() handles a notice of this instance's own traffic. */
 void crash_watch_add_local(struct crash_watch *w,
-			   const struct crash_notice *news)
+			   const struct crash_notice *notice)
 {
 	w->source = NULL;
-	apply(w, news);
+	apply(w, notice);
 }
 
-/* Applies the news of another instance or of the store. */
+/* Applies the notices of another instance or of the store. */
 static void apply_all(struct crash_watch *w, const char *source,
-		      const GArray *news)
+		      const GArray *notices)
 {
 	w->source = source;
-	for (guint i = 0; i < news->len; i++)
-		apply(w, &g_array_index(news, struct crash_notice, i));
+	for (guint i = 0; i < notices->len; i++)
+		apply(w, &g_array_index(notices, struct crash_notice, i));
 	w->source = NULL;
 }
 
-/* crash_watch_add_peer() handles news from a peer. */
+/* crash_watch_add_peer() handles notices from a peer. */
 void crash_watch_add_peer(struct crash_watch *w, const char *source,
-			  const GArray *news)
+			  const GArray *notices)
 {
-	apply_all(w, source, news);
+	apply_all(w, source, notices);
 }
 
 /* crash_watch_add_stored() handles verdicts read from the store. */
-void crash_watch_add_stored(struct crash_watch *w, const GArray *news)
+void crash_watch_add_stored(struct crash_watch *w, const GArray *notices)
 {
 	w->from_store = true;
-	apply_all(w, "store", news);
+	apply_all(w, "store", notices);
 	w->from_store = false;
 }
 
@@ -365,13 +367,13 @@
 	GHashTableIter it;
 	gpointer v;
 
-	g_hash_table_iter_init(&it, w->ledger.cases);
+	g_hash_table_iter_init(&it, w->tracker.cases);
 	while (g_hash_table_iter_next(&it, NULL, &v)) {
 		const struct crash_case *c = v;
-		struct crash_notice news = verdict_news(c);
+		struct crash_notice notice = verdict_notice(c);
 
 		if (c->quarantined)
-			g_array_append_val(verdicts, news);
+			g_array_append_val(verdicts, notice);
 	}
 	return verdicts;
 }
@@ -396,7 +398,7 @@
 	if (w->joins != w->channel->joins && rank < HUB_COUNT)
 		broadcast_verdicts(w);
 	w->joins = w->channel->joins;
-	crash_tracker_tick(&w->ledger, rank == 0, clock_ms());
+	crash_tracker_tick(&w->tracker, rank == 0, clock_ms());
 	/*
 	 * The rank may have changed, and with it whether this instance decides.
 	 */
@@ -419,7 +421,7 @@
 	w->verdict = verdict;
 	w->priv = priv;
 	w->broadcasts = g_array_new(FALSE, FALSE, sizeof(struct broadcast));
-	crash_tracker_init(&w->ledger, on_change, w);
+	crash_tracker_init(&w->tracker, on_change, w);
 	crash_record_start(&w->record, loop, store, &channel->peers.self);
 	ev_init(&w->due, on_due);
 	w->due.data = w;
--- a/control/peer_fetch.c
+++ b/control/peer_fetch.c
@@ -6,24 +6,24 @@
 #include "misc/clock.h"
 
 enum {
-	ASK_EVERY_MS = 300, /* each time from another peer */
+	REQUEST_INTERVAL_MS = 300, /* each time from another peer */
 	SNAPSHOT_MAX = 16 << 20,
 	HEAD_MAX = 4096,
 	/*
 	 * Configuration records that are larger are read from the store. All
-	 * other instances ask the first one at once, and on a link of 10 Mbit/s
-	 * 132 answers of this size take 0.9 s of the 2 s in which a version
-	 * must be in force. Twenty routes take 4 KB.
+	 * other instances query the first one at once, and on a link of 10
+	 * Mbit/s 132 answers of this size take 0.9 s of the 2 s in which a
+	 * version must be in force. Twenty routes take 4 KB.
 	 */
 	CONFIG_MAX = 8 * 1024,
 	/*
 	 * Concurrent snapshots. More would not be faster: eight of 30 KB take
-	 * 0.2 s on a link of 10 Mbit/s. Others ask another peer.
+	 * 0.2 s on a link of 10 Mbit/s. Others use another peer.
 	 */
 	CONCURRENT_ANSWERS_MAX = 8,
 };
 
-static const double ASK_TIMEOUT_S = 0.5;
+static const double REQUEST_TIMEOUT_S = 0.5;
 static const double SERVER_TIMEOUT_S = 5;
 
 /* Everything; everything but a large configuration; a small configuration. */
@@ -66,7 +66,7 @@
 	bool small = in->config->record.len <= CONFIG_MAX;
 	bool version = lstr_eq(path, CONFIG_PATH);
 
-	/* All ask for a small configuration at once, so it isn't limited. */
+	/* All request a small configuration at once, so it isn't limited. */
 	if (!in->peers->self.ready ||
 	    (!version && in->server.nconns > CONCURRENT_ANSWERS_MAX))
 		return 503;
@@ -187,13 +187,13 @@
 	in->target = *peer;
 	in->config_only =
 		lstr_eq(path, CONFIG_PATH) || lstr_eq(path, CONFIG_WHOLE_PATH);
-	rc = http_client_open(&in->client, in->loop, &peer->addr, ASK_TIMEOUT_S,
-			      limits, &client_ops, in);
+	rc = http_client_open(&in->client, in->loop, &peer->addr,
+			      REQUEST_TIMEOUT_S, limits, &client_ops, in);
 	if (rc)
 		return rc;
 	buf_printf(&b, "GET %.*s HTTP/1.1\r\nHost: peer\r\n\r\n", (int)path.len,
 		   path.ptr);
-	http_client_send(&in->client, buf_lstr(&b), ASK_TIMEOUT_S, false);
+	http_client_send(&in->client, buf_lstr(&b), REQUEST_TIMEOUT_S, false);
 	buf_free(&b);
 	return 0;
 }
@@ -212,21 +212,21 @@
 }
 
 /*
- * peer_fetch_tick() asks the next peer when due; call it often. `whole`: also
- * for a large configuration, since the store doesn't answer.
+ * peer_fetch_tick() sends a request to the next peer when due; call it often.
+ * `whole`: also for a large configuration, since the store doesn't answer.
  */
 void peer_fetch_tick(struct peer_fetch *in, bool whole, int64_t now_ms)
 {
 	const struct peer *p;
 
 	if (in->client.state != CLIENT_CLOSED ||
-	    now_ms - in->asked_ms < ASK_EVERY_MS)
+	    now_ms - in->request_sent_ms < REQUEST_INTERVAL_MS)
 		return;
 	p = peers_pick_source(in->peers, in->turn++, now_ms);
 	if (!p)
 		return;
-	in->asked_ms = now_ms;
-	/* If this fails at once, another peer is asked next time. */
+	in->request_sent_ms = now_ms;
+	/* If this fails at once, the next attempt uses another peer. */
 	(void)send_request(in, &p->info,
 			   whole ? SNAPSHOT_WHOLE_PATH : SNAPSHOT_PATH);
 }
--- a/control/publish.c
+++ b/control/publish.c
@@ -11,14 +11,14 @@
 /*
  * Returns whether the configuration is confirmed. The store may have been
  * restored without a version that the peers know, so an instance that has just
- * started must hear from them first.
+ * started must receive their positions first.
  */
 static bool is_config_confirmed(const struct control *c, int64_t now_ms)
 {
 	bool alone = c->record.listed &&
 		     now_ms - c->record.listed_ms > FIRST_HEARTBEAT_MS;
 
-	return (c->heard_peer || alone) && !config_watch_is_behind(&c->config);
+	return (c->seen_peer || alone) && !config_watch_is_behind(&c->config);
 }
 
 /*
--- a/core/crash_ledger.h
+++ b/core/crash_tracker.h
@@ -1,8 +1,8 @@
 /*
  * Detection of requests that crash backend servers. Such a request may crash
- * each server that executes it, and return under a new id at any instance. What
- * is known of it is kept by its digest, and is the same on all instances once
- * they have exchanged it.
+ * each server that executes it, and return under a new id at any instance. The
+ * evidence is kept by its digest, and is the same on all instances once they
+ * have exchanged it.
  *
  * Most requests that were at a server when it crashed were only executed
  * alongside the cause, so one crash proves nothing. A request is quarantined,
@@ -11,8 +11,8 @@
  * longer held against other requests. An answer clears a request at any time.
  * There is no I/O here, and the time is an argument.
  */
-#ifndef MP_CORE_CRASH_LEDGER_H
-#define MP_CORE_CRASH_LEDGER_H
+#ifndef MP_CORE_CRASH_TRACKER_H
+#define MP_CORE_CRASH_TRACKER_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -37,7 +37,7 @@
 	CRASH_QUARANTINED, /* all instances refuse it */
 	CRASH_TRIAL,	   /* one copy may be sent to a server */
 	CRASH_RELEASED,	   /* answered, or another request is the cause */
-	CRASH_EXPIRED,	   /* no news for a long time */
+	CRASH_EXPIRED,	   /* no reports for a long time */
 };
 
 struct crash_tracker {
--- a/member/gossip.h
+++ b/member/gossip.h
@@ -1,5 +1,5 @@
 /*
- * Datagrams between entry instances: heartbeats, membership, and news about
+ * Datagrams between entry instances: heartbeats, membership, and updates on
  * backend servers, among them the changes of the backend list that one instance
  * reads on behalf of all. Encoded as msgpack over UDP. A lost datagram is made
  * up for by the next one or by a read of the store, and there is no connection
@@ -13,7 +13,7 @@
 #include "core/backend.h"
 #include "core/drain_gossip.h"
 #include "core/limit_gossip.h"
-#include "core/limit_want.h"
+#include "core/limit_borrow.h"
 #include "core/peer_load.h"
 #include "member/hubs.h"
 #include "member/peers.h"
@@ -24,12 +24,12 @@
 	GOSSIP_FEED = 2,
 	GOSSIP_LOAD = 11,	  /* requests in flight; sender is an id only */
 	GOSSIP_ROSTER = 4,	  /* live instances, as known to a hub */
-	GOSSIP_INFO_REQUEST = 5,  /* asks for the instance behind an id */
+	GOSSIP_INFO_REQUEST = 5,  /* requests the instance with an id */
 	GOSSIP_ROSTER_DIGEST = 8, /* the roster is unchanged */
-	GOSSIP_ROSTER_REQUEST = 9, /* asks for the full roster */
+	GOSSIP_ROSTER_REQUEST = 9, /* requests the full roster */
 	GOSSIP_INFO = 6,	   /* another instance's peer_info */
 	GOSSIP_CRASHES = 10,	   /* requests that crashed backends */
-	GOSSIP_GRANT_REQUEST = 13, /* asks a peer to give up a send */
+	GOSSIP_GRANT_REQUEST = 13, /* requests a send from a peer */
 	GOSSIP_GRANT = 14,	   /* gives up a send; both: sender is an id */
 	GOSSIP_DRAINING = 15,	   /* draining backends; sender is an id only */
 	GOSSIP_LIMITS = 12,	   /* backends' limits; sender is an id only */
@@ -96,9 +96,9 @@
 	struct backend_feed feed; /* of GOSSIP_FEED */
 	struct peer_load load;	  /* of GOSSIP_LOAD */
 	struct roster roster;	  /* of GOSSIP_ROSTER */
-	uint32_t info_id;      /* of GOSSIP_INFO_REQUEST: the id in question */
-	uint32_t digest;       /* of GOSSIP_ROSTER_DIGEST */
-	struct peer_info info; /* of GOSSIP_INFO */
+	uint32_t info_id;	  /* of GOSSIP_INFO_REQUEST: the requested id */
+	uint32_t digest;	  /* of GOSSIP_ROSTER_DIGEST */
+	struct peer_info info;	  /* of GOSSIP_INFO */
 	struct limit_gossip limits; /* of GOSSIP_LIMITS */
 	struct drain_gossip drain;  /* of GOSSIP_DRAINING */
 	struct limit_borrow_msg
@@ -125,9 +125,9 @@
 void gossip_write_info(struct buf *out, const struct peer_info *self,
 		       const struct peer_info *person);
 void gossip_write_crashes(struct buf *out, const struct peer_info *self,
-			  const struct crash_notice *news, unsigned n);
-void gossip_write_limits(struct buf *out, const struct limit_gossip *news);
-void gossip_write_drain(struct buf *out, const struct drain_gossip *news);
+			  const struct crash_notice *notices, unsigned n);
+void gossip_write_limits(struct buf *out, const struct limit_gossip *update);
+void gossip_write_drain(struct buf *out, const struct drain_gossip *update);
 void gossip_write_grant(struct buf *out, const struct limit_borrow_msg *call);
 bool gossip_has_sender_info(const struct gossip_message *m);
 int gossip_read(struct lstr bytes, struct gossip_message *m);
--- a/member/peers.c
+++ b/member/peers.c
@@ -118,8 +118,8 @@
 }
 
 /*
- * Returns a peer whose heartbeats have stopped, each one once until it is heard
- * again; NULL if there is none.
+ * Returns a peer whose heartbeats have stopped, each one once until they
+ * resume; NULL if there is none.
  */
 const struct peer *peers_next_lost(struct peer_table *t, int64_t now_ms)
 {
@@ -168,8 +168,8 @@
 }
 
 /*
- * Like peers_rank(), for an instance that has just started: peers not heard yet
- * count for as long as they may still reply.
+ * Like peers_rank(), for an instance that has just started: peers that have
+ * sent nothing yet count for as long as they may still reply.
  */
 unsigned peers_startup_rank(const struct peer_table *t, int64_t now_ms)
 {
@@ -222,8 +222,8 @@
  * announced that it leaves has exited at the latest `stop_ms` later. Returns an
  * array of struct limit_instance; unref it after use.
  */
-GArray *peers_sharers(const struct peer_table *t, uint32_t stop_ms,
-		      int64_t now_ms)
+GArray *peers_limit_participants(const struct peer_table *t, uint32_t stop_ms,
+				 int64_t now_ms)
 {
 	GArray *out = g_array_new(FALSE, FALSE, sizeof(struct limit_instance));
 	struct limit_instance s = {peer_id(t->self.name), 1};
@@ -296,9 +296,9 @@
 /*
  * Lists the instances that callers may connect to: the live ones that can serve
  * or, if none can, all live ones, which reply with a time to retry. An instance
- * that hears none of the others is more likely cut off than the last survivor,
- * so it lists all known ones. Returns an array of struct peer_endpoint; unref
- * it after use.
+ * that receives nothing from the others is more likely cut off than the last
+ * survivor, so it lists all known ones. Returns an array of struct
+ * peer_endpoint; unref it after use.
  */
 GArray *peers_for_callers(const struct peer_table *t, int64_t now_ms)
 {
--- a/tests/test_crash_ledger.c
+++ b/tests/test_crash_tracker.c
@@ -1,12 +1,12 @@
 /*
- * Tests of core/crash_ledger: which requests are quarantined after crashes of
+ * Tests of core/crash_tracker: which requests are quarantined after crashes of
  * servers, which are not, and how a quarantine ends.
  */
 #include "tests/unit.h"
 
 #include <glib.h>
 
-#include "core/crash_ledger.h"
+#include "core/crash_tracker.h"
 
 enum { CULPRIT = 1, DECIDED_MS = 60, MINUTE_MS = 60 * 1000 };
 
--- a/tests/test_limit_want.c
+++ b/tests/test_limit_borrow.c
@@ -1,7 +1,10 @@
-/* Tests of core/limit_want: when peers are asked, and which grants count. */
+/*
+ * Tests of core/limit_borrow: when requests are sent to peers, and which grants
+ * are accepted.
+ */
 #include "tests/unit.h"
 
-#include "core/limit_want.h"
+#include "core/limit_borrow.h"
 
 /* One request at a time; after a few without a grant the delay doubles. */
 static void test_backoff(void **state)
--- a/traffic/crash_check.c
+++ b/traffic/crash_check.c
@@ -86,7 +86,7 @@
 	http_client_close(&c->http);
 	b->process_ended = b->process_ended || ended;
 	log_end(b, c->digests->len, outcome, why, clock_ms() - c->since_ms);
-	t->counters.ends_seen += ended;
+	t->counters.process_ends += ended;
 	for (guint i = 0; ended && i < c->digests->len; i++)
 		report_crash(t, b, g_array_index(c->digests, uint64_t, i));
 	b->crash_check = NULL;
@@ -122,7 +122,8 @@
 	ev_timer_start(c->traffic->loop, &c->retry_timer);
 }
 
-static enum http_match judge(void *priv, const struct http_message *m)
+static enum http_match classify_response(void *priv,
+					 const struct http_message *m)
 {
 	return HTTP_MATCHED;
 }
@@ -166,7 +167,7 @@
 	return !is_backing_off(c->backend);
 }
 
-static const struct http_client_ops ops = {.match = judge,
+static const struct http_client_ops ops = {.match = classify_response,
 					   .response = on_response,
 					   .failed = on_failed,
 					   .may_send = may_send};
@@ -193,13 +194,13 @@
 	http_client_send(&c->http, buf_lstr(&request), RESPONSE_TIMEOUT_S,
 			 false);
 	buf_free(&request);
-	t->counters.end_checks++;
+	t->counters.process_checks++;
 	return 0;
 }
 
 /*
- * Returns whether a probe may be sent now; if so it is charged to the ask
- * budget.
+ * Returns whether a probe may be sent now; if so it is charged to the
+ * probe budget.
  */
 static bool take_probe_budget(struct traffic *t)
 {
@@ -270,8 +271,8 @@
 }
 
 /*
- * Called when a server has run a request and lives. If the request is under
- * suspicion, the other instances are informed.
+ * Called when a server has executed a request without crashing. If the request
+ * is suspected, the other instances are notified.
  */
 void crash_check_answered(struct traffic *t, uint64_t digest)
 {
--- a/traffic/limits.c
+++ b/traffic/limits.c
@@ -8,16 +8,16 @@
 	/* Timer interval while servers are limited. */
 	TICK_MS = 500,
 	/*
-	 * If nobody has repeated for this long that a limit stands, the
-	 * instances that hold a share of it announce it again, with a random
-	 * delay so that most need not.
+	 * If no instance has confirmed a limit for this long, the instances
+	 * that hold a share of it announce it again, with a random delay so
+	 * that most need not.
 	 */
 	RESEND_MS = 2000,
 	RESEND_JITTER_MS = 1000,
 	/*
 	 * The end of a limit is repeated this often, at this interval: a peer
-	 * that has just heard that the limit stands needs an update that is
-	 * certainly newer.
+	 * that has just received a confirmation of the limit needs an update
+	 * that is certainly newer.
 	 */
 	END_SENDS = 3,
 	END_RESEND_MS = 1000,
@@ -73,16 +73,16 @@
 /* Recomputes this instance's share of b's limit. */
 static void update_share(struct traffic *t, struct backend *b)
 {
-	const GArray *known = t->peers.sharers;
-	struct limit_instances sharers = {.n = 0};
+	const GArray *known = t->peers.participants;
+	struct limit_instances participants = {.n = 0};
 	struct limit_quota part;
 
 	if (known)
-		sharers = (struct limit_instances){
+		participants = (struct limit_instances){
 			(const struct limit_instance *)(void *)known->data,
 			known->len};
 	part = limit_quota(b->state->limit->advertised.per_s, b->start_hash,
-			   &sharers);
+			   &participants);
 	limit_share_set_quota(&b->state->limit->share, &part, clock_ms());
 }
 
@@ -112,8 +112,8 @@
 }
 
 /*
- * Applies what a server has said, directly or through a peer. Returns whether
- * it must be reported.
+ * Applies a report of a server, received directly or through a peer. Returns
+ * whether it must be sent to the peers.
  */
 static bool apply_update(struct traffic *t, struct backend *b,
 			 const struct limit_report *w)
@@ -141,10 +141,10 @@
 	return true;
 }
 
-/* Passes news to the control thread, which sends them to peers. */
-static void send_news(struct traffic *t, const struct limit_gossip *news)
+/* Passes an update to the control thread, which sends it to the peers. */
+static void send_updates(struct traffic *t, const struct limit_gossip *update)
 {
-	struct limit_gossip *copy = g_memdup2(news, sizeof(*news));
+	struct limit_gossip *copy = g_memdup2(update, sizeof(*update));
 
 	/* If the queue is full it is lost, as a datagram may be. */
 	if (mailbox_send(t->control_inbox, FROM_TRAFFIC_LIMITS, copy))
@@ -160,8 +160,8 @@
 }
 
 /*
- * Called when b's limit was announced: if nobody repeats it, this instance does
- * after a while.
+ * Called when b's limit was announced: if no peer repeats it, this instance
+ * does after a while.
  */
 static void schedule_resend(struct traffic *t, struct backend *b,
 			    int64_t now_ms)
@@ -172,12 +172,12 @@
 }
 
 /* Appends the state of b's limit. */
-static void add_item(struct limit_gossip *news, const struct backend *b,
+static void add_item(struct limit_gossip *update, const struct backend *b,
 		     int64_t now_ms)
 {
 	const struct server_limit *l = &b->state->limit->advertised;
 
-	news->items[news->n++] = (struct limit_gossip_item){
+	update->items[update->n++] = (struct limit_gossip_item){
 		.backend = b->start_hash,
 		.limited = l->limited,
 		.per_s = l->per_s,
@@ -187,18 +187,18 @@
 }
 
 /*
- * Applies what a response of b, to a request sent at asked_ms, says about its
- * limit. Changes are sent to the peers at once.
+ * Applies the limit that a response of b announces; its request was sent at
+ * request_sent_ms. Changes are sent to the peers at once.
  */
 void limits_response(struct traffic *t, struct backend *b,
-		     const struct response_info *info, int64_t asked_ms,
+		     const struct response_info *info, int64_t request_sent_ms,
 		     enum limit_source source)
 {
-	struct limit_gossip news = {.n = 0};
+	struct limit_gossip update = {.n = 0};
 	struct limit_report w = {
 		.limited = info->limit == LIMIT_SET,
 		.per_s = info->limit_per_s,
-		.sent_ms = asked_ms,
+		.sent_ms = request_sent_ms,
 		.received_ms = clock_ms(),
 		.source = source,
 	};
@@ -218,8 +218,8 @@
 		b->state->limit->next_publish_ms =
 			w.received_ms + END_RESEND_MS;
 	}
-	add_item(&news, b, w.received_ms);
-	send_news(t, &news);
+	add_item(&update, b, w.received_ms);
+	send_updates(t, &update);
 }
 
 /* Returns the backend server with this start hash, or NULL. */
@@ -238,13 +238,13 @@
 	return NULL;
 }
 
-/* Applies what a peer has passed on about servers' limits. */
-void limits_peer_update(struct traffic *t, const struct limit_gossip *news)
+/* Applies a peer's update on the limits of servers. */
+void limits_peer_update(struct traffic *t, const struct limit_gossip *update)
 {
 	int64_t now_ms = clock_ms();
 
-	for (unsigned i = 0; i < news->n; i++) {
-		const struct limit_gossip_item *it = &news->items[i];
+	for (unsigned i = 0; i < update->n; i++) {
+		const struct limit_gossip_item *it = &update->items[i];
 		struct backend *b = limits_find(t, it->backend);
 		struct limit_report w = {
 			.limited = it->limited,
@@ -264,31 +264,32 @@
 }
 
 /*
- * Returns whether this instance hears most others. If it does not, they cannot
- * tell it that a limit stands, so their silence means nothing.
+ * Returns whether this instance receives heartbeats of most others. If not,
+ * they can't confirm a limit to it, so their silence doesn't mean that it has
+ * ended.
  */
-static bool hears_majority(const struct traffic *t)
+static bool reaches_majority(const struct traffic *t)
 {
-	const GArray *known = t->peers.sharers;
-	guint heard = 0;
+	const GArray *known = t->peers.participants;
+	guint reachable = 0;
 
 	for (guint i = 0; known && i < known->len; i++)
-		heard += g_array_index(known, struct limit_instance, i)
-				 .reachable;
-	return known && 2 * heard > known->len;
+		reachable += g_array_index(known, struct limit_instance, i)
+				     .reachable;
+	return known && 2 * reachable > known->len;
 }
 
 /*
- * Plans a probe: if nobody has heard from b for long, one of the instances that
- * hold no share of its limit sends it a request to learn whether the limit
- * still stands. A random delay decides which one, and the others learn the
+ * Plans a probe: if no instance has had a response of b for long, one of those
+ * that hold no share of its limit sends it a request to learn whether the limit
+ * is still in force. A random delay decides which one, and the others learn the
  * result from it.
  */
 static void plan_probe(struct traffic *t, struct backend *b, int64_t now_ms)
 {
 	struct backend_limit *l = b->state->limit;
 
-	if (l->share.quota.held || !hears_majority(t) ||
+	if (l->share.quota.held || !reaches_majority(t) ||
 	    !server_limit_is_stale(&l->advertised, now_ms)) {
 		l->probe_allowed = false;
 		l->next_probe_ms = 0;
@@ -297,9 +298,10 @@
 	if (l->next_probe_ms == 0)
 		l->next_probe_ms =
 			now_ms +
-			g_rand_int_range(t->rand, 0,
-					 PROBE_SPREAD_MS *
-						 (int)t->peers.sharers->len);
+			g_rand_int_range(
+				t->rand, 0,
+				PROBE_SPREAD_MS *
+					(int)t->peers.participants->len);
 	if (now_ms < l->next_probe_ms)
 		return;
 	l->next_probe_ms = now_ms + PROBE_RETRY_MS;
@@ -332,7 +334,7 @@
 {
 	struct traffic *t = timer->data;
 	int64_t now_ms = clock_ms();
-	struct limit_gossip news = {.n = 0};
+	struct limit_gossip update = {.n = 0};
 	bool any = false;
 	GHashTableIter it;
 	gpointer v;
@@ -346,13 +348,13 @@
 			continue;
 		any = true;
 		plan_probe(t, b, now_ms);
-		if (news.n == LIMIT_GOSSIP_MAX || !is_due(b, now_ms))
+		if (update.n == LIMIT_GOSSIP_MAX || !is_due(b, now_ms))
 			continue;
 		schedule_next(t, b, now_ms);
-		add_item(&news, b, now_ms);
+		add_item(&update, b, now_ms);
 	}
-	if (news.n)
-		send_news(t, &news);
+	if (update.n)
+		send_updates(t, &update);
 	if (any)
 		start_timer(t, TICK_MS);
 }
--- a/traffic/request.c
+++ b/traffic/request.c
@@ -117,21 +117,21 @@
 	int64_t now_ms = clock_ms();
 	int64_t left_ms = request_left_ms(r, now_ms);
 	struct admit_request view = request_admission_view(r, now_ms);
-	struct limit_capacity room = limit_capacity(r->service, now_ms);
+	struct limit_capacity capacity = limit_capacity(r->service, now_ms);
 	int64_t resume_ms = service_resume_ms(r->service, now_ms);
 	double random = g_rand_double(r->traffic->rand);
 	double retry_s = resume_ms ? retry_after_resume_s(
 					     &view, resume_ms - now_ms, random)
 				   : retry_after_s(&view, left_ms, random);
 	double queue_s =
-		retry_after_turn_s(&r->service->last_turn_ms, &room,
+		retry_after_turn_s(&r->service->last_turn_ms, &capacity,
 				   r->service->waiting.length, left_ms, now_ms);
 
 	r->traffic->last_failure_ms = now_ms;
 	refuse(r,
-	       resume_ms	  ? "servers backing off"
-	       : room.all_limited ? "servers in need"
-				  : why,
+	       resume_ms	      ? "servers backing off"
+	       : capacity.all_limited ? "servers in need"
+				      : why,
 	       MAX(retry_s, queue_s));
 }
 
@@ -151,8 +151,8 @@
 }
 
 /*
- * Ends a quarantined request. If this instance hasn't sent it, the caller is
- * told when it will be tried again.
+ * Ends a quarantined request. If this instance hasn't sent it, the response
+ * contains the time after which it will be tried again.
  */
 void request_reject_quarantined(struct request *r)
 {
@@ -166,8 +166,8 @@
 }
 
 /*
- * Ends a request whose outcome is unknown with 502 or 504, which say nothing
- * about whether it was executed.
+ * Ends a request whose outcome is unknown with 502 or 504, which leave open
+ * whether it was executed.
  */
 void request_fail(struct request *r, unsigned status, const char *why)
 {
@@ -254,7 +254,7 @@
 	if (r->nsends == 0 || budget_allows(&r->service->budget,
 					    &t->budget_params, clock_boot_ms()))
 		return true;
-	r->service->account.denied[request_extra_cause(r)]++;
+	r->service->retry_stats.denied[request_extra_cause(r)]++;
 	return false;
 }
 
@@ -424,7 +424,7 @@
 	r->stats->requests++;
 	budget_add_request(&r->service->budget, &t->budget_params,
 			   clock_boot_ms());
-	r->service->account.requests++;
+	r->service->retry_stats.requests++;
 	http_conn_set_user(c, r);
 	request_select(r, SELECT_FIRST);
 }
--- a/traffic/request_send.c
+++ b/traffic/request_send.c
@@ -46,7 +46,8 @@
 	}
 }
 
-static enum http_match send_judge(void *owner, const struct response_info *info)
+static enum http_match send_classify(void *owner,
+				     const struct response_info *info)
 {
 	struct send *s = owner;
 
@@ -184,7 +185,7 @@
 	r->maybe_executed--;
 	r->stats->sends--;
 	if (s->extra)
-		r->service->account.spent[s->cause]--;
+		r->service->retry_stats.spent[s->cause]--;
 	if (last) {
 		backend_unref(s->backend);
 		r->nsends--;
@@ -228,7 +229,7 @@
 			  err == -ETIMEDOUT ? "timeout" : "connection broke");
 }
 
-static const struct upstream_ops send_ops = {send_judge, send_response,
+static const struct upstream_ops send_ops = {send_classify, send_response,
 					     send_failed};
 
 /* Counts a send; an extra one is charged to the retry budget. */
@@ -239,7 +240,7 @@
 	if (r->nsends == 1)
 		return;
 	budget_spend(&r->service->budget);
-	r->service->account.spent[cause]++;
+	r->service->retry_stats.spent[cause]++;
 	request_log_extra(r, cause, now_ms);
 	if (cause != EXTRA_RETRY)
 		r->stats->hedges++;
