--- a/stand/backend.c
+++ b/stand/backend.c
@@ -1,10 +1,10 @@
 /*
- * A backend server as a stand-in, over the published protocol: it registers
- * in the store, runs requests on its slots, reports its load, refuses or
- * hangs when it is full, answers for another start with 421, and drains on
- * SIGTERM. A request whose path or body holds the service's fatal_word ends
- * the process that runs it. POST /stand/faults makes it misbehave, see
- * stand/faults.h.
+ * Simulated backend server, over the published protocol: it registers in the
+ * store, runs requests on its slots, reports its load, rejects requests or
+ * hangs when it is full, responds with 421 to requests for another start of the
+ * server, and drains on SIGTERM. A request whose path or body contains the
+ * service's fatal_word crashes the process. POST /stand/faults injects faults,
+ * see stand/faults.h.
  */
 #include <errno.h>
 #include <inttypes.h>
@@ -19,19 +19,21 @@
 #include "stand/server.h"
 
 enum {
-	DRAIN_MS = 5000,       /* how long a leaving server works on */
-	LEAVE_GRACE_MS = 3000, /* new work after this is late */
+	DRAIN_MS = 5000,       /* time from SIGTERM to the stop, at least */
+	LEAVE_GRACE_MS = 3000, /* requests after this count as late */
 	HEAD_MAX = 16384,
 	BODY_MAX = 1 << 20,
-	FATAL_DELAY_MS = 40, /* a fatal request runs so long before the end */
+	FATAL_DELAY_MS = 40, /* run time of a fatal request before the crash */
 	EXIT_FATAL = 70,
 };
 
+/* Whether a fault with this chance per request occurs now. */
 static bool fault_occurs(struct server *s, int pct)
 {
 	return pct && g_rand_int_range(s->work.rand, 0, 100) < pct;
 }
 
+/* Adds the header that reports the load. */
 static void add_load(struct server *s, struct buf *b)
 {
 	buf_printf(b, "Server-Load: %u,%u,%u,%u\r\n", s->work.running,
@@ -39,6 +41,7 @@
 		   work_slowdown_pct(&s->work, clock_ms()));
 }
 
+/* Adds the header that sets a rate limit, if there is one. */
 static void add_limit(struct server *s, struct buf *b)
 {
 	if (s->faults.limit_odd)
@@ -47,12 +50,13 @@
 		buf_printf(b, "Server-Limit: %g\r\n", s->limit_check.per_s);
 }
 
+/* Whether responses announce that the server drains. */
 static bool is_draining(const struct server *s)
 {
 	return s->leaving_ms || s->faults.draining;
 }
 
-/* The lifetime of the instance that sends m, as its Via header names it. */
+/* Returns the lifetime of the sending instance, from the Via header. */
 static struct lstr sender_lifetime(const struct http_message *m)
 {
 	struct lstr via = http_find(m, LSTR("Via"));
@@ -60,6 +64,7 @@
 	return via.ptr ? via : LSTR("");
 }
 
+/* Adds the header that announces the drain, if the server drains. */
 static void add_draining(struct server *s, struct lstr to, struct buf *b)
 {
 	if (!is_draining(s))
@@ -68,6 +73,7 @@
 	audit_draining(&s->audit, to, clock_ms());
 }
 
+/* Adds the header that asks for a backoff, if a fault says so. */
 static void add_backoff(struct server *s, struct lstr to, struct buf *b)
 {
 	if (s->faults.backoff_odd) {
@@ -80,6 +86,7 @@
 	audit_backoff(&s->audit, to, s->faults.backoff_milli, clock_ms());
 }
 
+/* Sends a response; closes the connection after it if the server drains. */
 static void reply(struct server *s, struct http_conn *c, unsigned status,
 		  const struct buf *headers, struct lstr body)
 {
@@ -89,6 +96,7 @@
 						.close = s->leaving_ms != 0});
 }
 
+/* Rejects a request, with the header that guarantees that it did not run. */
 static void reply_not_run(struct server *s, struct http_conn *c,
 			  const struct http_message *m, unsigned status)
 {
@@ -104,6 +112,7 @@
 	buf_free(&h);
 }
 
+/* Frees a job and its request. */
 static void job_free(struct job *j)
 {
 	ev_timer_stop(j->server->loop, &j->timer);
@@ -111,6 +120,7 @@
 	g_free(j);
 }
 
+/* Writes headers and body of the response to a request that ran. */
 static void write_answer(struct job *j, struct buf *headers, struct buf *body)
 {
 	struct server *s = j->server;
@@ -127,7 +137,7 @@
 		   (int)id.len, id.ptr, s->id, s->service->name);
 }
 
-/* Answers, or fails to in the way that the faults ask for. */
+/* Sends the response, unless a fault loses, truncates or duplicates it. */
 static void job_answer(struct job *j)
 {
 	struct server *s = j->server;
@@ -160,6 +170,7 @@
 
 static void job_run(struct job *j);
 
+/* Ends a job, sends its response and starts the next one in the queue. */
 static void job_end(struct job *j)
 {
 	struct job *next = work_finish(&j->server->work);
@@ -171,12 +182,13 @@
 		job_run(next);
 }
 
+/* The run time of a job has passed. */
 static void on_work_done(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	job_end(t->data);
 }
 
-/* The process ends at once, as after a fault of its own. */
+/* Exits at once, as in a crash. */
 static void on_fatal_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct job *j = t->data;
@@ -187,12 +199,14 @@
 	_exit(EXIT_FATAL);
 }
 
+/* Whether the text contains a word that isn't empty. */
 static bool contains(struct lstr text, const char *word)
 {
 	return *word && text.len &&
 	       memmem(text.ptr, text.len, word, strlen(word)) != NULL;
 }
 
+/* Whether a request crashes the server. */
 static bool is_fatal(const struct job *j)
 {
 	const char *word = j->server->service->fatal_word;
@@ -201,6 +215,7 @@
 	       contains(buf_lstr(&j->message->body), word);
 }
 
+/* Runs a job for a random time. */
 static void job_run(struct job *j)
 {
 	struct server *s = j->server;
@@ -220,7 +235,7 @@
 	ev_timer_start(s->loop, &j->timer);
 }
 
-/* The sender closed its connection: its request is dropped. */
+/* The sender closed its connection: drops its request. */
 static void on_gone(void *priv, struct http_conn *c)
 {
 	struct job *j = http_conn_user(c);
@@ -238,6 +253,7 @@
 	}
 }
 
+/* Rejects a job. */
 static void job_reject(struct job *j)
 {
 	if (j->conn) {
@@ -247,12 +263,13 @@
 	job_free(j);
 }
 
+/* Sends a delayed rejection. */
 static void on_reject_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	job_reject(t->data);
 }
 
-/* Turns a request away, at once or late. */
+/* Rejects a job after a delay; 0: at once. */
 static void job_reject_after(struct job *j, int ms)
 {
 	if (!ms) {
@@ -265,7 +282,7 @@
 	ev_timer_start(j->server->loop, &j->timer);
 }
 
-/* Each call counts, also those that a fault turns away. */
+/* Admits a job, or rejects it by a fault; counts both as calls. */
 static enum work_admission admit_job(struct server *s, struct job *j)
 {
 	if (!fault_occurs(s, s->faults.shed_pct))
@@ -275,6 +292,7 @@
 	return WORK_FULL;
 }
 
+/* Handles a request for the service. */
 static void handle_work(struct server *s, struct http_conn *c,
 			struct http_message *m)
 {
@@ -311,13 +329,14 @@
 		j->waiting = true;
 		break;
 	case WORK_FULL:
-		/* Some services never answer what they can't queue. */
+		/* Some services never respond to what they can't queue. */
 		if (!s->service->hangs || s->faults.backoff_milli >= 0)
 			job_reject_after(j, s->faults.late_ms);
 		break;
 	}
 }
 
+/* Handles a probe of health and load. */
 static void handle_health(struct server *s, struct http_conn *c,
 			  const struct http_message *m)
 {
@@ -334,6 +353,7 @@
 	buf_free(&h);
 }
 
+/* Handles a request for the statistics. */
 static void handle_stats(struct server *s, struct http_conn *c)
 {
 	struct buf b = {0}, none = {0};
@@ -343,6 +363,7 @@
 	buf_free(&b);
 }
 
+/* Handles a request that sets faults or controls the audit. */
 static void handle_faults(struct server *s, struct http_conn *c,
 			  const struct query *q)
 {
@@ -356,13 +377,14 @@
 		audit_resume(&s->audit);
 	if (query_text(q, "excuse"))
 		audit_excuse(&s->audit, query_text(q, "excuse"));
-	/* What is no number names no limit that could be kept. */
+	/* A limit that is no number can't be complied with. */
 	limit_check_set(&s->limit_check, f->limit_milli >= 0 && !f->limit_odd,
 			f->limit_milli / 1000.0, clock_ms());
 	s->work.quiet = f->quiet;
 	reply(s, c, 200, &none, LSTR(""));
 }
 
+/* Dispatches a request by its path. */
 static void on_request(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct server *s = priv;
@@ -388,6 +410,7 @@
 
 static const struct http_server_ops ops = {on_request, on_gone};
 
+/* Stops the server once DRAIN_MS have passed and no request is open. */
 static void on_drained(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct server *s = t->data;
@@ -401,6 +424,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
+/* SIGTERM: starts to drain. */
 static void on_term(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	struct server *s = w->data;
@@ -409,13 +433,14 @@
 		return;
 	s->leaving_ms = clock_ms();
 	mp_event(EV_STOPPING, G_LOG_LEVEL_MESSAGE,
-		 "backend %s leaving; drains for %d ms", s->id, DRAIN_MS);
+		 "backend %s draining for %d ms", s->id, DRAIN_MS);
 	server_register(s);
 	ev_timer_init(&s->drain_timer, on_drained, DRAIN_MS / 1000.0, 0.1);
 	s->drain_timer.data = s;
 	ev_timer_start(loop, &s->drain_timer);
 }
 
+/* Initializes the server from the deployment. Returns 0 or a negative errno. */
 static int server_init(struct server *s, const struct deploy *d,
 		       const char *service, int index, unsigned seed)
 {
@@ -442,9 +467,9 @@
 }
 
 /*
- * stand_backend_main() runs server `index` of a service until SIGTERM; then
- * it says that it leaves, works on for a while, and stops when every request
- * has its answer. Returns 0 or a negative errno.
+ * stand_backend_main() runs server `index` of a service until SIGTERM. It then
+ * announces that it drains, keeps running for DRAIN_MS and stops when every
+ * request has its response. Returns 0 or a negative errno.
  */
 int stand_backend_main(const struct deploy *d, const char *service, int index,
 		       unsigned seed)
--- a/stand/backup.c
+++ b/stand/backup.c
@@ -4,12 +4,13 @@
 #include "stand/backup.h"
 #include "stand/log.h"
 
-/* backup_init() prepares a store in its first era. */
+/* backup_init() prepares a store without backup in its first era. */
 void backup_init(struct backup *d)
 {
 	*d = (struct backup){.era = 1, .era_header = "ok"};
 }
 
+/* Returns a deep copy of all topics. */
 static GHashTable *copy_topics(GHashTable *topics)
 {
 	GHashTable *copy = g_hash_table_new(g_str_hash, g_str_equal);
@@ -22,13 +23,16 @@
 	return copy;
 }
 
-/* backup_save() keeps a copy of all topics in the place of an earlier one. */
+/* backup_save() copies all topics; it replaces an earlier backup. */
 void backup_save(struct backup *d, GHashTable *topics)
 {
 	d->copy = copy_topics(topics);
 }
 
-/* backup_restore() begins the next era; returns the topics to go on with. */
+/*
+ * backup_restore() starts the next era. Returns a copy of the backup, or empty
+ * topics if there is none.
+ */
 GHashTable *backup_restore(struct backup *d)
 {
 	d->era += 1 + d->era_skip;
@@ -37,7 +41,7 @@
 		       : g_hash_table_new(g_str_hash, g_str_equal);
 }
 
-/* backup_set() takes over what a query names and leaves the rest. */
+/* backup_set() sets the parameters that the query has. */
 void backup_set(struct backup *d, const struct query *q)
 {
 	const char *named = query_text(q, "era_named");
@@ -47,7 +51,7 @@
 		g_strlcpy(d->era_header, named, sizeof(d->era_header));
 }
 
-/* backup_write_era() writes the header of an answer that was made in an era. */
+/* backup_write_era() writes the Store-Era header of a response of this era. */
 void backup_write_era(const struct backup *d, uint64_t era, struct buf *headers)
 {
 	if (!strcmp(d->era_header, "odd"))
--- a/stand/backup.h
+++ b/stand/backup.h
@@ -1,10 +1,11 @@
 /*
- * The store stand-in's copies: it keeps one, and comes back from it with its era one
- * higher. POST /stand/faults?NAME=VALUE:
- *   copy=1          keeps a copy of all topics as they are now
- *   restore=HOW     comes back from it; reads that wait are HOW: reset | silent | answer
- *   era_skip=N      the next restore raises the era by N more
- *   era_named=HOW   the header that names the era is HOW: ok | none | odd | huge
+ * Backup of the simulated store. A restore raises the era by one. Parameters
+ * of POST /stand/faults?NAME=VALUE:
+ *   copy=1         back up all topics
+ *   restore=HOW    restore the backup; pending reads are handled as HOW:
+ *                  reset (close) | silent (no response) | answer
+ *   era_skip=N     the next restore raises the era by N more
+ *   era_named=HOW  the Store-Era header is HOW: ok | none | odd | huge
  */
 #ifndef MP_STAND_BACKUP_H
 #define MP_STAND_BACKUP_H
@@ -16,11 +17,12 @@
 #include "misc/buf.h"
 #include "stand/query.h"
 
+/* A copy of all topics and the era of the store. */
 struct backup {
 	GHashTable *copy; /* "topic/part" -> struct log_part * */
 	uint64_t era;
-	unsigned era_skip;
-	char era_header[8];
+	unsigned era_skip;  /* extra eras of the next restore */
+	char era_header[8]; /* form of the Store-Era header */
 };
 
 void backup_init(struct backup *d);
--- a/stand/faults.c
+++ b/stand/faults.c
@@ -4,13 +4,13 @@
 
 #include "stand/faults.h"
 
-/* faults_init() makes those of a server that behaves. */
+/* faults_init() sets no faults. */
 void faults_init(struct faults *f)
 {
 	*f = (struct faults){.limit_milli = -1, .backoff_milli = -1};
 }
 
-/* faults_set() takes over what a query names and leaves the rest. */
+/* faults_set() sets the parameters that the query has. */
 void faults_set(struct faults *f, const struct query *q)
 {
 	static const struct {
--- a/stand/faults.h
+++ b/stand/faults.h
@@ -1,24 +1,31 @@
 /*
- * How a stand-in of a backend server misbehaves, as POST /stand/faults sets it:
- *   shed=0|1  shed_pct=N  turns requests away
- *   backoff_milli=N  asks in these responses to back off for N ms; -1: doesn't
- *   backoff_odd=0|1  asks for what is no number
- *   late_ms=N  turns away only after so long
- *   draining=0|1  announces in all responses that it drains; its entry doesn't
- *   unlisted=0|1  writes its entry no more, which lapses
- *   quiet=0|1  hang_pct=N  lost_pct=N  cut_pct=N  extra_pct=N
- *   limit_milli=N  names a limit of N requests in 1,000 s; -1: none
- *   limit_odd=0|1  names one that is no number
- *   limit_asked=0|1  names it in answers to questions too
- * And what it may not hold against instances, see stand/audit.h:
- *   audit_off=1 ... audit_on=1  what is asked, and what arrives, between these
- *   excuse=NAME  what it has asked the instance so far
+ * Faults of a simulated backend server, parameters of POST /stand/faults:
+ *   shed=0|1         reject all requests (1) or none
+ *   shed_pct=N       reject N percent of the requests
+ *   backoff_milli=N  rejections ask for a backoff of N ms; -1: none
+ *   backoff_odd=0|1  rejections ask for a backoff that is no number
+ *   late_ms=N        delay rejections
+ *   draining=0|1     announce in all responses that it drains, but not in its
+ *                    entry in the store
+ *   unlisted=0|1     stop writing its entry, so that its lease expires
+ *   quiet=0|1        constant speed: no slow start, no noisy neighbour
+ *   hang_pct=N       never respond
+ *   lost_pct=N       run the request, then close the connection
+ *   cut_pct=N        truncate the response
+ *   extra_pct=N      send the response twice
+ *   limit_milli=N    set a rate limit of N requests in 1,000 s; -1: none
+ *   limit_odd=0|1    set a rate limit that is no number
+ *   limit_asked=0|1  set the limit in responses to probes too
+ * Exemptions from the checks of stand/audit.h:
+ *   audit_off=1 ... audit_on=1  suspend the checks between these
+ *   excuse=NAME      drop the backoffs and announcements sent to an instance
  */
 #ifndef MP_STAND_FAULTS_H
 #define MP_STAND_FAULTS_H
 
 #include "stand/query.h"
 
+/* Values of the parameters; the percentages are chances per request. */
 struct faults {
 	int shed_pct, backoff_milli, backoff_odd, late_ms, draining, unlisted;
 	int hang_pct, lost_pct, cut_pct, extra_pct;
--- a/stand/lease.c
+++ b/stand/lease.c
@@ -3,7 +3,7 @@
 #include "platform/store.h"
 #include "stand/lease.h"
 
-/* lease_init() prepares one that knows of no entry. */
+/* lease_init() prepares an empty set of leases. */
 void lease_init(struct lease *l, int ttl_ms)
 {
 	l->ttl_ms = ttl_ms;
@@ -11,7 +11,7 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 }
 
-/* lease_renew() remembers an append, if it is of a backend server. */
+/* lease_renew() renews a lease if the append is of a backend server's entry. */
 void lease_renew(struct lease *l, const struct query *q, struct lstr body,
 		 int64_t now_ms)
 {
@@ -25,7 +25,7 @@
 			     g_memdup2(&now_ms, sizeof(now_ms)));
 }
 
-/* lease_restart() begins the leases of a partition that came back from a copy. */
+/* lease_restart() renews the leases of all keys of a restored partition. */
 void lease_restart(struct lease *l, const struct log_part *p, int64_t now_ms)
 {
 	GHashTableIter it;
@@ -37,7 +37,7 @@
 				     g_memdup2(&now_ms, sizeof(now_ms)));
 }
 
-/* Bytes before the number that each beat has of its own. */
+/* Returns the length before the sequence number, which every write changes. */
 static size_t prefix_before_sequence(const char *p, size_t n)
 {
 	static const char name[] = "sequenceNumber";
@@ -46,7 +46,10 @@
 	return at ? (size_t)(at - p) : n;
 }
 
-/* lease_is_repeat() tells whether an entry says nothing new of its server. */
+/*
+ * lease_is_repeat() returns whether an append only renews a lease: changes_only
+ * is set and the entry has nothing new but its sequence number.
+ */
 bool lease_is_repeat(const struct lease *l, const struct log_part *p,
 		     const struct query *q, struct lstr body)
 {
@@ -72,7 +75,7 @@
 	       !memcmp(value, body.ptr + 5 + klen, len);
 }
 
-/* lease_expire() drops what is due from its partition; true when it did. */
+/* lease_expire() removes entries without a lease; true if there were any. */
 bool lease_expire(struct lease *l, struct log_part *p, int64_t now_ms)
 {
 	struct log_condition cond = {.expected_end = -1};
--- a/stand/lease.h
+++ b/stand/lease.h
@@ -1,6 +1,6 @@
 /*
- * Leases of the store stand-in: the entry of a backend server that has not written
- * for too long is dropped.
+ * Leases of the simulated store: the entry of a backend server is removed if
+ * the server doesn't write it again within ttl_ms.
  */
 #ifndef MP_STAND_LEASE_H
 #define MP_STAND_LEASE_H
@@ -8,10 +8,11 @@
 #include "stand/log.h"
 #include "stand/query.h"
 
+/* Leases of all backend servers. */
 struct lease {
 	GHashTable *written_ms; /* backend server -> int64_t * */
 	int ttl_ms;
-	bool changes_only; /* what repeats an entry isn't appended */
+	bool changes_only; /* renewals without a change aren't appended */
 };
 
 void lease_init(struct lease *l, int ttl_ms);
--- a/stand/limit_check.c
+++ b/stand/limit_check.c
@@ -1,21 +1,22 @@
 #include "stand/limit_check.h"
 
 enum {
-	LIMIT_GRACE_MS = 3000, /* after the first naming nothing is judged */
+	LIMIT_GRACE_MS = 3000, /* not checked after a change of the limit */
 	WINDOW_MS = 4000,
 };
 
-/* In a window: so many times what the limit allows, and so many more. */
+/* Allowed in a window: limit * RULE_FACTOR + RULE_SLACK requests. */
 static const double RULE_FACTOR = 1.5;
 static const double RULE_SLACK = 5;
 
-/* limit_check_init() makes one of a server that names no limit. */
+/* limit_check_init() sets no limit. */
 void limit_check_init(struct limit_check *n)
 {
 	*n = (struct limit_check){.active = false};
 	g_queue_init(&n->arrived);
 }
 
+/* Drops the arrival times up to `ms`. */
 static void drop_before(struct limit_check *n, int64_t ms)
 {
 	int64_t *at;
@@ -24,7 +25,7 @@
 		g_free(g_queue_pop_head(&n->arrived));
 }
 
-/* limit_check_set() begins, changes or ends the limit; the rule settles anew. */
+/* limit_check_set() sets or removes the limit; a change restarts the grace. */
 void limit_check_set(struct limit_check *n, bool named, double per_s,
 		     int64_t now_ms)
 {
@@ -36,7 +37,7 @@
 	n->set_ms = now_ms;
 }
 
-/* limit_check_request() counts a request and keeps the worst window. */
+/* limit_check_request() counts a request and updates the worst window. */
 void limit_check_request(struct limit_check *n, int64_t now_ms)
 {
 	double allowed = RULE_FACTOR * n->per_s * WINDOW_MS / 1000 + RULE_SLACK;
--- a/stand/limit_check.h
+++ b/stand/limit_check.h
@@ -1,8 +1,8 @@
 /*
- * A stand-in's limit: how many requests a second it says it takes from all
- * instances together, and whether it gets more than the users' rule allows. The
- * rule is judged more strictly than they do: all requests count, also those of
- * instances that were not told yet.
+ * Rate limit of a simulated backend server: how many requests per second it
+ * accepts from all instances together, and whether it gets more than the users'
+ * rule allows. The check is stricter than the rule: it counts all requests,
+ * including those of instances that don't know the limit yet.
  */
 #ifndef MP_STAND_LIMIT_CHECK_H
 #define MP_STAND_LIMIT_CHECK_H
@@ -12,15 +12,16 @@
 
 #include <glib.h>
 
+/* The rate limit and the requests that arrived under it. */
 struct limit_check {
 	bool active;
 	double per_s;
 	int64_t set_ms;
-	GQueue arrived; /* when each request of the last window came, in ms */
-	uint64_t requests; /* while a limit stands and the rule holds */
+	GQueue arrived;	   /* arrival times in the last window, ms */
+	uint64_t requests; /* that were checked */
 	bool has_worst;
-	unsigned worst; /* requests in the worst window */
-	double allowed; /* in that */
+	unsigned worst; /* requests in the window that exceeded most */
+	double allowed; /* requests allowed in that window */
 };
 
 void limit_check_init(struct limit_check *n);
--- a/stand/listing.c
+++ b/stand/listing.c
@@ -5,8 +5,9 @@
 #include "misc/codec.h"
 #include "stand/listing.h"
 
-enum { NEWEST_MAX = 500 }; /* items a page */
+enum { NEWEST_MAX = 500 }; /* items per page */
 
+/* Writes one item of the listing. */
 static void write_item(msgpack_packer *pk, const char *key,
 		       const struct log_newest *n)
 {
@@ -24,7 +25,7 @@
 	g_free(text);
 }
 
-/* listing_write() writes the page of the keys after `after`; NULL: the first. */
+/* listing_write() writes the keys after `after`, or the first; one page. */
 void listing_write(const struct log_part *p, const char *after,
 		   struct buf *body)
 {
--- a/stand/listing.h
+++ b/stand/listing.h
@@ -1,4 +1,4 @@
-/* A page of the store stand-in's listing of the newest record of each key. */
+/* Paged listing of the newest record of each key, for the simulated store. */
 #ifndef MP_STAND_LISTING_H
 #define MP_STAND_LISTING_H
 
--- a/stand/log.c
+++ b/stand/log.c
@@ -4,6 +4,7 @@
 
 enum { LENGTH_BYTES = 4 };
 
+/* Frees a struct log_newest. */
 static void free_newest(gpointer p)
 {
 	struct log_newest *n = p;
@@ -12,12 +13,13 @@
 	g_free(n);
 }
 
+/* Releases a record. */
 static void free_bytes(gpointer p)
 {
 	g_bytes_unref(p);
 }
 
-/* log_part_new() makes an empty partition. */
+/* log_part_new() returns an empty partition. */
 struct log_part *log_part_new(bool keyed)
 {
 	struct log_part *p = g_new0(struct log_part, 1);
@@ -31,6 +33,7 @@
 	return p;
 }
 
+/* Copies the newest record of one key to another table. */
 static void copy_newest(gpointer key, gpointer value, gpointer to)
 {
 	const struct log_newest *n = value;
@@ -40,13 +43,14 @@
 	g_hash_table_insert(to, g_strdup(key), copy);
 }
 
+/* Copies one producer to another table. */
 static void copy_producer(gpointer key, gpointer value, gpointer to)
 {
 	g_hash_table_insert(to, g_strdup(key),
 			    g_memdup2(value, sizeof(struct log_producer)));
 }
 
-/* log_part_copy() makes one that later appends to either leave apart. */
+/* log_part_copy() returns a copy that shares no mutable state with p. */
 struct log_part *log_part_copy(const struct log_part *p)
 {
 	struct log_part *copy = log_part_new(p->keyed);
@@ -66,6 +70,7 @@
 	return p->first + p->records->len;
 }
 
+/* Decodes the big-endian length of a record. */
 static uint32_t read_length(const char *s)
 {
 	const unsigned char *p = (const unsigned char *)s;
@@ -74,7 +79,7 @@
 	       (uint32_t)p[2] << 8 | p[3];
 }
 
-/* Tells whether the body is a whole number of records. */
+/* Whether the body consists of complete records. */
 static bool is_well_formed(struct lstr body)
 {
 	size_t at = 0;
@@ -87,7 +92,7 @@
 	return at == body.len;
 }
 
-/* Remembers the newest record of a key; one without a value drops it. */
+/* Updates the newest record of its key; a record without value removes it. */
 static void update_newest(struct log_part *p, const char *rec, size_t n,
 			  uint64_t offset)
 {
@@ -109,7 +114,10 @@
 	g_hash_table_replace(p->newest, key, e);
 }
 
-/* Checks a producer's numbers; *repeat: its first outcome stands in pos. */
+/*
+ * Checks the epoch and sequence number of an append. Sets *repeat if the append
+ * was done before; pos then gets its first outcome.
+ */
 static enum log_outcome check_producer(struct log_part *p,
 				       const struct log_condition *c,
 				       struct log_producer **out,
@@ -145,6 +153,7 @@
 	return LOG_BAD_SEQ;
 }
 
+/* Stores the outcome of an append, to recognize a repeat of it. */
 static void record_append(struct log_producer *pr, uint64_t seq,
 			  const struct log_position *pos)
 {
@@ -157,9 +166,9 @@
 }
 
 /*
- * log_append() adds the records of a body, all or none, if its conditions
- * hold. pos receives where they stand; for LOG_CONFLICT the end, for LOG_BAD_SEQ the
- * number that was expected (in `end`).
+ * log_append() appends all records of a body if the conditions hold, else none.
+ * pos gets their position, for LOG_CONFLICT the end of the partition and for
+ * LOG_BAD_SEQ the expected sequence number (in `end`).
  */
 enum log_outcome log_append(struct log_part *p, struct lstr body,
 			    const struct log_condition *c,
@@ -194,6 +203,7 @@
 	return LOG_OK;
 }
 
+/* Appends the low n bytes of v in big-endian order. */
 static void add_big_endian(struct buf *out, uint64_t v, unsigned n)
 {
 	while (n-- > 0) {
@@ -203,7 +213,10 @@
 	}
 }
 
-/* log_read() writes end, first and records from an offset on to out. */
+/*
+ * log_read() writes the end, the first offset and the records starting at
+ * `from` to out: as many as fit in max_bytes, at least one.
+ */
 enum log_outcome log_read(const struct log_part *p, uint64_t from,
 			  size_t max_bytes, struct buf *out)
 {
--- a/stand/log.h
+++ b/stand/log.h
@@ -1,6 +1,6 @@
 /*
- * The data of the store stand-in: topics of numbered records, the newest
- * record of each key, conditional appends and producers. No network here.
+ * Data of the simulated store: partitions of numbered records, the newest
+ * record of each key, conditional appends and producers. No network I/O.
  */
 #ifndef MP_STAND_LOG_H
 #define MP_STAND_LOG_H
@@ -12,8 +12,11 @@
 
 #include "misc/buf.h"
 
-enum { LOG_DEDUP_MAX = 5 }; /* appends of a producer that may be repeated */
+enum {
+	LOG_DEDUP_MAX = 5
+}; /* last appends of a producer that are deduplicated */
 
+/* A producer and the outcomes of its last appends, a ring of nseqs % size. */
 struct log_producer {
 	uint64_t epoch;
 	uint64_t next_seq;
@@ -22,35 +25,39 @@
 	unsigned nseqs;
 };
 
+/* A partition of a topic. */
 struct log_part {
 	bool keyed;
-	uint64_t first;	       /* records before it are deleted */
-	GPtrArray *records;    /* GBytes, from `first` on */
-	GHashTable *newest;    /* key -> struct log_newest * */
+	uint64_t first;	    /* offset of the first record that isn't deleted */
+	GPtrArray *records; /* GBytes, from `first` on */
+	GHashTable *newest; /* key -> struct log_newest * */
 	GHashTable *producers; /* name -> struct log_producer * */
 };
 
+/* The newest record of a key. */
 struct log_newest {
 	uint64_t offset;
 	GBytes *value;
 };
 
-/* Conditions of an append; unset ones are -1 or NULL. */
+/* Conditions of an append; -1 or NULL: no condition. */
 struct log_condition {
 	int64_t expected_end;
 	const char *producer;
 	int64_t epoch, seq;
 };
 
+/* Result of an operation on a partition. */
 enum log_outcome {
 	LOG_OK,
-	LOG_MALFORMED,	 /* malformed records */
-	LOG_CONFLICT,	 /* the partition doesn't end at `at` */
-	LOG_STALE_EPOCH, /* a later epoch was seen */
-	LOG_BAD_SEQ,	 /* the sequence number doesn't follow */
-	LOG_OUT_OF_RANGE, /* the records asked for are deleted, or not there yet */
+	LOG_MALFORMED,	  /* malformed records */
+	LOG_CONFLICT,	  /* the partition doesn't end at expected_end */
+	LOG_STALE_EPOCH,  /* the producer has a newer epoch */
+	LOG_BAD_SEQ,	  /* not the next sequence number */
+	LOG_OUT_OF_RANGE, /* the offset is deleted or beyond the end */
 };
 
+/* Offset of the first record of an append, and the end after the append. */
 struct log_position {
 	uint64_t offset, end;
 };
--- a/stand/operator.c
+++ b/stand/operator.c
@@ -1,8 +1,7 @@
 /*
- * The users' operator as a stand-in: writes one whole configuration version
- * with a route for each service of the deployment. Host SERVICE.example,
- * path prefix /work/; and one that only this version has: host newest.example,
- * prefix /vVERSION/.
+ * Simulated operator: writes a configuration version with a route for each
+ * service of the deployment (host SERVICE.example, path prefix /work/) and one
+ * that only this version has (host newest.example, path prefix /vVERSION/).
  */
 #include <errno.h>
 #include <stdio.h>
@@ -13,12 +12,14 @@
 
 enum { TIMEOUT_MS = 1000, TARGET_MS = 200, MAX_ATTEMPTS = 2 };
 
+/* Packs a field with a number. */
 static void pack_number(msgpack_packer *pk, const char *name, uint64_t v)
 {
 	codec_pack_cstr(pk, name);
 	msgpack_pack_uint64(pk, v);
 }
 
+/* Packs one route under its name. */
 static void pack_route(msgpack_packer *pk, const char *name, const char *prefix,
 		       const struct service_opts *s)
 {
@@ -42,6 +43,7 @@
 	pack_number(pk, "maxAttempts", MAX_ATTEMPTS);
 }
 
+/* Writes the record of a configuration version. */
 static void write_config(const struct deploy *d, uint64_t version,
 			 struct buf *out)
 {
@@ -76,7 +78,7 @@
 	}
 }
 
-/* Waits until a write is answered or has failed. */
+/* Waits for the response to a write. Returns 0 or -EIO. */
 static int await_put(struct ev_loop *loop, struct http_client *http,
 		     unsigned served)
 {
@@ -85,7 +87,7 @@
 	return http->served > served ? 0 : -EIO;
 }
 
-/* stand_operator_main() writes the version and returns 0 or -errno. */
+/* stand_operator_main() writes the version. Returns 0 or a negative errno. */
 int stand_operator_main(const struct deploy *d, uint64_t version)
 {
 	struct ev_loop *loop = ev_default_loop(EVFLAG_NOENV);
@@ -105,7 +107,7 @@
 	return rc;
 }
 
-/* The entry of a server that isn't there, spread over the services. */
+/* Writes the entry of a nonexistent server; i selects the service in turn. */
 static void write_fake_entry(const struct deploy *d, int i, struct buf *value)
 {
 	const struct service_opts *s =
@@ -132,8 +134,8 @@
 }
 
 /*
- * stand_fill_main() writes entries of servers `from` to `to` - 1 that aren't
- * there, to measure what a long list costs. Returns 0 or -errno.
+ * stand_fill_main() writes entries of nonexistent servers `from` to `to` - 1,
+ * to measure the cost of a long list. Returns 0 or a negative errno.
  */
 int stand_fill_main(const struct deploy *d, int from, int to)
 {
--- a/stand/proxy.c
+++ b/stand/proxy.c
@@ -1,12 +1,12 @@
 /*
- * A loopback proxy for the fault soak: passes TCP connections on to the store
- * or to the servers of a service, and harms them when told to. POST
- * /stand/faults?NAME=VALUE on its control port, one below the first that it
- * listens on:
- *   delay_ms=N              bytes are passed on so much later
- *   silent=up|down|both|no  bytes to the server, from it, or all are swallowed
- *   refuse=1|0              new connections are reset at once
- *   reset=1                 the connections of now are reset
+ * Loopback TCP proxy that injects network faults, for the soak test. It
+ * forwards connections to the store or to the backend servers of a service. Its
+ * control port, one below the first port that it listens on, accepts
+ * POST /stand/faults?NAME=VALUE:
+ *   delay_ms=N              delay the bytes in both directions
+ *   silent=up|down|both|no  drop the bytes to the server, from it, or both
+ *   refuse=1|0              reset new connections
+ *   reset=1                 reset all open connections
  */
 #include <errno.h>
 #include <stdio.h>
@@ -26,6 +26,7 @@
 
 enum { CHUNK = 16 * 1024, CONTROL_TIMEOUT_S = 5, CONTROL_MAX = 4096 };
 
+/* State of the proxy process. */
 struct proxy {
 	struct ev_loop *loop;
 	struct http_server control;
@@ -34,13 +35,14 @@
 	GPtrArray *links; /* struct link * */
 };
 
+/* A listening port and the address that it forwards to. */
 struct port {
 	struct proxy *proxy;
 	struct sockaddr_in target;
 	ev_io accept;
 };
 
-/* One end of a connection, with the bytes that are to be written to it. */
+/* One end of a forwarded connection and the bytes to be written to it. */
 struct side {
 	struct link *link;
 	struct side *other;
@@ -48,15 +50,17 @@
 	ev_io readable, writable;
 	ev_timer delay;
 	struct buf out;
-	bool up; /* the server's end: what is written to it goes up */
+	bool up; /* the server's end: bytes written to it go up */
 };
 
+/* A forwarded connection. */
 struct link {
 	struct proxy *proxy;
 	struct side caller, server;
-	bool closing; /* one end has closed: what is left goes out */
+	bool closing; /* one end was closed: flush, then close the other */
 };
 
+/* Closes one end, with a TCP reset if asked for. */
 static void side_close(struct ev_loop *loop, struct side *s, bool reset)
 {
 	struct linger reset_now = {1, 0};
@@ -71,6 +75,7 @@
 	buf_free(&s->out);
 }
 
+/* Closes both ends of a connection and frees it. */
 static void link_close(struct link *l, bool reset)
 {
 	side_close(l->proxy->loop, &l->caller, reset);
@@ -79,6 +84,7 @@
 	g_free(l);
 }
 
+/* Writes pending bytes; closes a connection that is closing and flushed. */
 static void on_writable(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct side *s = io->data;
@@ -97,6 +103,7 @@
 		link_close(s->link, false);
 }
 
+/* Starts to write the delayed bytes. */
 static void on_delay(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct side *s = t->data;
@@ -104,7 +111,7 @@
 	ev_io_start(loop, &s->writable);
 }
 
-/* Passes bytes on to a side, now or later, or not at all. */
+/* Forwards bytes to one end: at once, delayed, or not at all. */
 static void forward_bytes(struct side *to, const char *bytes, size_t n)
 {
 	struct proxy *p = to->link->proxy;
@@ -120,6 +127,7 @@
 	}
 }
 
+/* Forwards what one end sends; handles its end of stream. */
 static void on_readable(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct side *s = io->data;
@@ -138,6 +146,7 @@
 		link_close(s->link, n < 0);
 }
 
+/* Initializes one end and starts to read from it. */
 static void side_open(struct link *l, struct side *s, struct side *other,
 		      int fd)
 {
@@ -151,6 +160,7 @@
 	ev_io_start(l->proxy->loop, &s->readable);
 }
 
+/* Connects an accepted connection to the target, or resets it. */
 static void on_accept(struct ev_loop *loop, ev_io *io, int revents)
 {
 	struct port *port = io->data;
@@ -178,6 +188,7 @@
 	g_ptr_array_add(port->proxy->links, l);
 }
 
+/* Resets all open connections. */
 static void reset_links(struct proxy *p)
 {
 	GPtrArray *all = p->links;
@@ -188,6 +199,7 @@
 	g_ptr_array_unref(all);
 }
 
+/* Sets the faults that the query has. */
 static void set_faults(struct proxy *p, const struct query *q)
 {
 	const char *silent = query_text(q, "silent");
@@ -204,6 +216,7 @@
 		reset_links(p);
 }
 
+/* Handles a request on the control port. */
 static void on_control(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct http_reply r = {.status = 404, .close = true};
@@ -222,7 +235,7 @@
 
 static const struct http_server_ops control_ops = {on_control, NULL};
 
-/* Listens on `listen` and passes on to `target`. */
+/* Listens on `listen` and forwards connections to `target`. */
 static int open_port(struct proxy *p, const char *listen, const char *target)
 {
 	int fd = socket_listen(listen);
@@ -241,6 +254,7 @@
 	return socket_addr(target, &port->target);
 }
 
+/* Opens a port for each backend server of a service. */
 static int open_service_ports(struct proxy *p, const struct service_opts *s)
 {
 	char advertised[64], real[64];
@@ -254,6 +268,7 @@
 	return rc;
 }
 
+/* Opens the control port, one below the address `first`. */
 static int open_control_port(struct proxy *p, const char *first)
 {
 	char host[32], addr[64];
@@ -269,9 +284,10 @@
 }
 
 /*
- * stand_proxy_main() stands before the servers of a service, at the addresses
- * that they tell, or before the store (no service named), at the address that
- * entries are told. Returns a negative errno when it can't.
+ * stand_proxy_main() runs the proxy: for the backend servers of a service, at
+ * the addresses that they advertise, or for the store if `service` is NULL, at
+ * the address that entry instances are configured with. Returns 0 or a negative
+ * errno.
  */
 int stand_proxy_main(const struct deploy *d, const char *service)
 {
--- a/stand/put.c
+++ b/stand/put.c
@@ -3,31 +3,34 @@
 
 #include "stand/stand.h"
 
-/* A stand-in writes again soon; an answer that is late is not waited for. */
+/* Short, as registrations are repeated anyway. */
 static const double PUT_TIMEOUT_S = 1.0;
 
+/* Accepts any response head. */
 static enum http_verdict judge(void *priv, const struct http_message *m)
 {
 	return HTTP_TAKE;
 }
 
+/* Ignores the response. */
 static void on_response(void *priv, struct http_message *m)
 {
 	http_message_free(m);
 }
 
+/* Logs the error of a write. */
 static void on_failed(void *priv, int err, bool sent)
 {
-	g_debug("store: %s", g_strerror(-err));
+	g_debug("write to store failed: %s", g_strerror(-err));
 }
 
 static const struct http_client_ops ops = {
 	.judge = judge, .response = on_response, .failed = on_failed};
 
 /*
- * stand_put() writes one record of a keyed topic on behalf of a backend
- * server or the operator; an empty value drops the key. c must be zeroed
- * before the first call. A call while another is under way is left out.
+ * stand_put() writes one record of a keyed topic on behalf of a backend server
+ * or the operator; an empty value deletes the key. Zero c before the first
+ * call. Does nothing if an earlier write is still pending.
  */
 void stand_put(struct http_client *c, struct ev_loop *loop,
 	       const struct sockaddr_in *store, const char *topic,
--- a/stand/query.c
+++ b/stand/query.c
@@ -2,7 +2,7 @@
 
 #include "stand/query.h"
 
-/* query_split() returns the path (g_free it) and fills q. */
+/* query_split() returns the path, to be freed, and parses the query into q. */
 char *query_split(struct lstr target, struct query *q)
 {
 	char *text = g_strndup(target.ptr, target.len);
@@ -19,13 +19,13 @@
 	return text;
 }
 
-/* query_text() returns an item's value, or NULL. */
+/* query_text() returns the value of a parameter, or NULL. */
 const char *query_text(const struct query *q, const char *name)
 {
 	return g_hash_table_lookup(q->items, name);
 }
 
-/* query_int() returns an item as a whole number, or the standard value. */
+/* query_int() returns the value of a parameter as an integer, or `fallback`. */
 int64_t query_int(const struct query *q, const char *name, int64_t fallback)
 {
 	const char *s = query_text(q, name);
@@ -33,7 +33,7 @@
 	return s ? g_ascii_strtoll(s, NULL, 10) : fallback;
 }
 
-/* query_free() frees the items. */
+/* query_free() frees the parameters. */
 void query_free(struct query *q)
 {
 	g_hash_table_unref(q->items);
--- a/stand/query.h
+++ b/stand/query.h
@@ -1,4 +1,4 @@
-/* A request target split into its path and the items of its query. */
+/* Parser of request targets: path and query parameters. */
 #ifndef MP_STAND_QUERY_H
 #define MP_STAND_QUERY_H
 
@@ -8,6 +8,7 @@
 
 #include "misc/lstr.h"
 
+/* The parameters of a query string. */
 struct query {
 	GHashTable *items;
 };
--- a/stand/server.h
+++ b/stand/server.h
@@ -1,4 +1,4 @@
-/* A stand-in of a backend server, between the parts of its program. */
+/* A simulated backend server, shared by the files that implement it. */
 #ifndef MP_STAND_SERVER_H
 #define MP_STAND_SERVER_H
 
@@ -9,6 +9,7 @@
 #include "stand/stand.h"
 #include "stand/work.h"
 
+/* State of the server process. */
 struct server {
 	struct ev_loop *loop;
 	const struct service_opts *service;
@@ -21,19 +22,20 @@
 	struct http_client store;
 	struct sockaddr_in store_addr;
 	ev_timer register_timer, drain_timer;
-	char advertised_addr[64]; /* where others reach it */
+	char advertised_addr
+		[64]; /* address in its entry; the proxy's if it has one */
 	unsigned registrations;
-	int64_t leaving_ms; /* 0: not leaving */
+	int64_t leaving_ms; /* when it began to drain; 0: not draining */
 };
 
-/* A request that runs or waits. */
+/* A request that is running, waiting or about to be rejected. */
 struct job {
 	struct server *server;
-	struct http_conn *conn; /* NULL: the sender has left */
+	struct http_conn *conn; /* NULL: the sender disconnected */
 	struct http_message *message;
 	ev_timer timer;
 	bool waiting;
-	bool rejected; /* it is turned away when its timer ends */
+	bool rejected; /* rejected when the timer expires */
 };
 
 void server_write_stats(struct buf *out, const struct server *s);
--- a/stand/server_list.c
+++ b/stand/server_list.c
@@ -3,7 +3,7 @@
 
 enum { REGISTER_INTERVAL_MS = 500 };
 
-/* The record by which the system finds this server. */
+/* Writes the entry of this server in the list of backend servers. */
 static void write_registration(struct server *s, struct buf *value)
 {
 	msgpack_packer pk;
@@ -32,7 +32,7 @@
 	msgpack_pack_uint32(&pk, 0);
 }
 
-/* server_register() writes the entry now, unless it is to lapse. */
+/* server_register() writes the entry, unless a fault lets its lease expire. */
 void server_register(struct server *s)
 {
 	struct buf value = {0};
@@ -45,12 +45,13 @@
 	buf_free(&value);
 }
 
+/* Renews the entry. */
 static void on_register_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	server_register(t->data);
 }
 
-/* server_register_start() writes it now and from time to time. */
+/* server_register_start() starts to write the entry periodically. */
 void server_register_start(struct server *s)
 {
 	ev_timer_init(&s->register_timer, on_register_timer, 0,
--- a/stand/server_stats.c
+++ b/stand/server_stats.c
@@ -3,8 +3,8 @@
 #include "stand/server.h"
 
 /*
- * server_write_stats() writes a "name value" line each, and "ran KEY COUNT" for what
- * ran.
+ * server_write_stats() writes the counters as "NAME VALUE" lines and the number
+ * of runs of each key as "ran KEY COUNT" lines.
  */
 void server_write_stats(struct buf *out, const struct server *s)
 {
--- a/stand/stand.h
+++ b/stand/stand.h
@@ -1,8 +1,9 @@
 /*
- * Stand-ins for what the system serves and relies on, written by this
- * project from the published protocol: the platform's store (stand/store.c),
- * a backend server (stand/backend.c) and the operator (stand/operator.c).
- * Tests and the local run use them in place of the real things.
+ * Simulators of the systems that entry instances work with, implemented by
+ * this project from the published protocol: the platform's store
+ * (stand/store.c), a backend server (stand/backend.c), the operator
+ * (stand/operator.c) and a faulty network (stand/proxy.c). Tests and the local
+ * run use them in place of the real systems.
  */
 #ifndef MP_STAND_STAND_H
 #define MP_STAND_STAND_H
--- a/stand/store.c
+++ b/stand/store.c
@@ -1,12 +1,15 @@
 /*
- * The platform's store as a stand-in, over the published calls that the
- * product uses: append (conditions, producers), read with a wait, the newest
- * of each key, trim. Faults are switched on by POST /stand/faults?NAME=VALUE:
- *   down=busy|silent|reset|no   slow_ms=N   lost_pct=N   forget=1
- *   changes_only=0|1: what repeats a server's entry is no record
- * and those of stand/drill.h.
- * Backend servers and the operator write through POST /stand/append, since
- * the system itself may not write to their topics.
+ * Simulated store of the platform, with the published calls that the system
+ * uses: append (conditions, producers), long-polling read, newest record of
+ * each key, trim. POST /stand/faults?NAME=VALUE sets faults:
+ *   down=busy|silent|reset|no  be down: respond 503, don't respond, or close
+ *   slow_ms=N                  delay responses
+ *   lost_pct=N                 append, but close without a response
+ *   forget=1                   delete the history, not the newest of each key
+ *   changes_only=0|1           don't append renewals of a server's entry
+ * and those of stand/backup.h.
+ * Backend servers and the operator write through POST /stand/append, since the
+ * system itself is not permitted to write to their topics.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -31,6 +34,7 @@
 	BODY_MAX = 4 << 20,
 };
 
+/* State of the store process. */
 struct store {
 	struct ev_loop *loop;
 	struct http_server http;
@@ -41,20 +45,20 @@
 	int slow_ms, lost_pct;
 	struct lease leases;
 	ev_timer lease_timer;
-	int append_limit; /* a second */
-	int64_t limit_s;
+	int append_limit; /* appends per second */
+	int64_t limit_s;  /* second that `appends` counts */
 	int appends;
 	GRand *rand;
 };
 
-/* A read that waits for a record, or an answer that is held back. */
+/* A read that waits for a record, or a delayed response. */
 struct held_reply {
 	struct store *store;
 	struct http_conn *conn;
 	ev_timer timer;
-	struct log_part *part; /* of a read */
-	char *name;	       /* of that partition */
-	uint64_t era;	       /* in which the answer was made */
+	struct log_part *part; /* of a read; else NULL */
+	char *name;	       /* name of the partition */
+	uint64_t era;	       /* in which the response was made */
 	uint64_t from;
 	size_t max;
 	bool is_read;
@@ -62,6 +66,7 @@
 	struct buf body;
 };
 
+/* Returns the partition name "topic/part" of a query, to be freed. */
 static char *part_name(const struct query *q)
 {
 	const char *topic = query_text(q, "topic");
@@ -70,6 +75,7 @@
 	return g_strdup_printf("%s/%s", topic ? topic : "", part ? part : "0");
 }
 
+/* Returns a partition; creates it if it is new. */
 static struct log_part *get_part(struct store *s, const char *name)
 {
 	struct log_part *p = g_hash_table_lookup(s->topics, name);
@@ -81,6 +87,7 @@
 	return p;
 }
 
+/* Returns the partition of a query. */
 static struct log_part *find_part(struct store *s, const struct query *q)
 {
 	char *name = part_name(q);
@@ -90,6 +97,7 @@
 	return p;
 }
 
+/* Sends a response with the header of an era. */
 static void reply_in_era(struct store *s, struct http_conn *c, uint64_t era,
 			 unsigned status, struct lstr body)
 {
@@ -102,12 +110,14 @@
 	buf_free(&headers);
 }
 
+/* Sends a response in the current era. */
 static void reply(struct store *s, struct http_conn *c, unsigned status,
 		  struct lstr body)
 {
 	reply_in_era(s, c, s->backup.era, status, body);
 }
 
+/* Frees a held response without sending it. */
 static void held_reply_free(struct held_reply *k)
 {
 	k->store->held_replies = g_list_remove(k->store->held_replies, k);
@@ -117,7 +127,7 @@
 	g_free(k);
 }
 
-/* Answers a parked read with what is there now. */
+/* Sends a held response; a read returns the records that exist now. */
 static void send_held_reply(struct held_reply *k)
 {
 	struct http_conn *c = k->conn;
@@ -135,11 +145,13 @@
 	buf_free(&body);
 }
 
+/* The wait of a read or the delay of a response has ended. */
 static void on_held_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	send_held_reply(t->data);
 }
 
+/* Holds the response on a connection for up to `ms`. */
 static struct held_reply *hold_reply(struct store *s, struct http_conn *c,
 				     int ms)
 {
@@ -157,7 +169,7 @@
 	return k;
 }
 
-/* Answers, later if the store is slow; takes the body's memory. */
+/* Sends a response, delayed if the store is slow; takes over the body. */
 static void reply_delayed(struct store *s, struct http_conn *c, unsigned status,
 			  struct buf *body)
 {
@@ -174,7 +186,7 @@
 	*body = (struct buf){0};
 }
 
-/* Wakes the reads that wait for a record of this partition. */
+/* Completes the reads that wait for a record of this partition. */
 static void wake_reads(struct store *s, const struct log_part *p)
 {
 	GList *next;
@@ -188,6 +200,7 @@
 	}
 }
 
+/* Counts an append; whether it exceeds the limit of this second. */
 static bool over_limit(struct store *s)
 {
 	int64_t now_s = clock_ms() / 1000;
@@ -199,6 +212,7 @@
 	return ++s->appends > s->append_limit;
 }
 
+/* Returns the HTTP status of a result. */
 static unsigned status_of(enum log_outcome rc)
 {
 	switch (rc) {
@@ -217,6 +231,7 @@
 	return 400;
 }
 
+/* Writes the response body of an append. */
 static void write_positions(struct buf *body, const struct log_position *pos)
 {
 	msgpack_packer pk;
@@ -229,7 +244,7 @@
 	msgpack_pack_uint64(&pk, pos->end);
 }
 
-/* Drops the entries of servers that have not written for too long. */
+/* Removes the entries of servers whose lease expired. */
 static void on_lease_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct store *s = t->data;
@@ -276,6 +291,7 @@
 	reply_delayed(s, c, status_of(rc), &body);
 }
 
+/* Handles a read; it waits if there are no new records yet. */
 static void handle_read(struct store *s, struct http_conn *c,
 			const struct query *q)
 {
@@ -316,7 +332,7 @@
 	reply(s, c, 200, LSTR(""));
 }
 
-/* Deletes the history; the newest of each key stays. */
+/* Deletes the history of all topics, but not the newest record of each key. */
 static void trim_all(struct store *s)
 {
 	GHashTableIter it;
@@ -327,7 +343,7 @@
 		log_trim(v, log_end(v));
 }
 
-/* What becomes of a read that waits while the store comes back from a copy. */
+/* Handles a read that waits during a restore, as `how` says. */
 static void interrupt_read(struct store *s, struct held_reply *k,
 			   const char *how)
 {
@@ -345,6 +361,7 @@
 	}
 }
 
+/* Restores the backup and interrupts the reads that wait. */
 static void restore_backup(struct store *s, const char *how)
 {
 	GList *held = g_list_copy(s->held_replies);
@@ -383,7 +400,7 @@
 	reply(s, c, 200, LSTR(""));
 }
 
-/* Answers as a store that is down; true when it is. */
+/* If the store is down, responds as such and returns true. */
 static bool is_down(struct store *s, struct http_conn *c)
 {
 	if (!*s->down)
@@ -395,7 +412,7 @@
 	return true;
 }
 
-/* The system may not write what the operator and the servers write. */
+/* Whether only the operator or backend servers are permitted to write. */
 static bool is_protected_topic(const struct query *q)
 {
 	const char *topic = query_text(q, "topic");
@@ -404,6 +421,7 @@
 			 !strcmp(topic, STORE_TOPIC_BACKENDS));
 }
 
+/* Dispatches a request by its path. */
 static void on_request(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct store *s = priv;
@@ -413,7 +431,7 @@
 	if (!strcmp(path, "/stand/faults"))
 		handle_faults(s, c, &q);
 	else if (is_down(s, c))
-		g_debug("request while down");
+		g_debug("request ignored: the store is down");
 	else if (!strcmp(path, "/log-read"))
 		handle_read(s, c, &q);
 	else if (!strcmp(path, "/log-newest"))
@@ -431,6 +449,7 @@
 	http_message_free(m);
 }
 
+/* The client closed its connection: drops its response. */
 static void on_gone(void *priv, struct http_conn *c)
 {
 	struct held_reply *k = http_conn_user(c);
@@ -446,7 +465,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-/* stand_store_main() serves the stand-in until SIGTERM. */
+/* stand_store_main() runs the store until SIGTERM. Returns 0 or -errno. */
 int stand_store_main(const struct deploy *d)
 {
 	struct store s = {.append_limit = d->platform.append_limit_per_s};
--- a/stand/work.c
+++ b/stand/work.c
@@ -3,19 +3,19 @@
 #include "stand/work.h"
 
 enum {
-	QUEUE_PER_SLOT = 2,
-	SLOW_START_MS = 2000, /* slow start */
+	QUEUE_PER_SLOT = 2, /* queue length per slot */
+	SLOW_START_MS = 2000,
 	SLOW_START_FACTOR = 2,
 	NOISE_PERIOD_MS = 300,
-	NOISE_PCT = 25, /* chance of a slow spell each period */
+	NOISE_PCT = 25, /* chance of a noisy neighbour per period */
 	NOISE_FACTOR = 4,
 };
 
-/* Work slows down beyond this share of the slots, as the users measured. */
+/* Jobs take longer when more than this share of the slots is in use. */
 static const double KNEE_SHARE = 0.8;
 static const double KNEE_FACTOR = 1.7;
 
-/* work_init() makes an idle server. */
+/* work_init() prepares an idle server. */
 void work_init(struct work *w, unsigned slots, double work_ms, uint32_t seed,
 	       int64_t now_ms)
 {
@@ -30,7 +30,7 @@
 	w->ran = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-/* work_admit() takes a job in: to run now, to wait, or not at all. */
+/* work_admit() starts, queues or rejects a job. */
 enum work_admission work_admit(struct work *w, void *job)
 {
 	w->calls++;
@@ -46,7 +46,7 @@
 	return WORK_WAIT;
 }
 
-/* work_finish() ends a running job; returns the job that runs next, if any. */
+/* work_finish() ends a running job. Returns the job to run next, or NULL. */
 void *work_finish(struct work *w)
 {
 	void *next = g_queue_pop_head(&w->waiting);
@@ -56,13 +56,13 @@
 	return next;
 }
 
-/* work_cancel() forgets a waiting job. */
+/* work_cancel() removes a job from the queue. */
 void work_cancel(struct work *w, void *job)
 {
 	g_queue_remove(&w->waiting, job);
 }
 
-/* work_record_run() records that the job with this key began to run. */
+/* work_record_run() records a run of the job with this key. */
 void work_record_run(struct work *w, const char *key)
 {
 	int n = GPOINTER_TO_INT(g_hash_table_lookup(w->ran, key));
@@ -70,7 +70,7 @@
 	g_hash_table_replace(w->ran, g_strdup(key), GINT_TO_POINTER(n + 1));
 }
 
-/* work_slowdown_pct() tells how long work takes now; 100 is usual. */
+/* work_slowdown_pct() returns the current run time; 100 is typical. */
 unsigned work_slowdown_pct(struct work *w, int64_t now_ms)
 {
 	if (w->quiet)
@@ -83,7 +83,7 @@
 	return now_ms < w->noise_until_ms ? 100 * NOISE_FACTOR : 100;
 }
 
-/* work_duration_ms() draws how long a job that begins now runs. */
+/* work_duration_ms() returns a random run time for a job that starts now. */
 double work_duration_ms(struct work *w, int64_t now_ms)
 {
 	double f = work_slowdown_pct(w, now_ms) / 100.0;
--- a/stand/work.h
+++ b/stand/work.h
@@ -1,6 +1,6 @@
 /*
- * How a backend server stand-in works: slots, a short queue, speed that
- * shifts, and the record of what ran. No network here.
+ * Execution model of a simulated backend server: slots, a short queue, varying
+ * speed, and a record of the requests that ran. No network I/O.
  */
 #ifndef MP_STAND_WORK_H
 #define MP_STAND_WORK_H
@@ -10,18 +10,21 @@
 
 #include <glib.h>
 
+/* State of the model. */
 struct work {
 	unsigned slots, queue_max;
 	unsigned running;
-	GQueue waiting; /* of the owner's jobs */
-	double work_ms;
+	GQueue waiting; /* jobs of the caller */
+	double work_ms; /* typical run time */
 	int64_t started_ms, noise_until_ms, noise_checked_ms;
 	bool quiet;	 /* no slow start, no noisy neighbour */
-	GHashTable *ran; /* key -> count of runs */
+	GHashTable *ran; /* key -> number of runs */
 	GRand *rand;
-	uint64_t calls, refused, probes, late;
+	uint64_t calls, refused, probes;
+	uint64_t late; /* requests after LEAVE_GRACE_MS of the drain */
 };
 
+/* Whether a job starts, waits in the queue or is rejected. */
 enum work_admission { WORK_RUN, WORK_WAIT, WORK_FULL };
 
 void work_init(struct work *w, unsigned slots, double work_ms, uint32_t seed,
--- a/tools/ctl.c
+++ b/tools/ctl.c
@@ -12,31 +12,31 @@
 #include "tools/tools.h"
 
 enum {
-	RESOLVE_TRIES = 20, /* reads to learn a patch's fate */
+	RESOLVE_TRIES = 20, /* reads to find out if a patch was written */
 	RESOLVE_PAUSE_US = 250 * 1000,
-	WAIT_MS = 10000, /* for a version to be in force everywhere */
+	WAIT_MS = 10000, /* for every entry to apply a version */
 	WAIT_PAUSE_US = 20 * 1000,
 	METRICS_TIMEOUT_MS = 500,
 	EXIT_REJECTED = 1,
 	EXIT_UNKNOWN = 2,
-	EXIT_UNREACHABLE = 3, /* nothing was sent */
+	EXIT_UNREACHABLE = 3, /* the store or an entry; nothing was written */
 };
 
-/* A store channel whose calls are waited for. */
+/* A store channel with blocking calls. */
 struct ctl {
 	const struct deploy *deploy;
 	struct ev_loop *loop;
 	struct store_endpoint endpoint;
 	struct store_channel store;
 	struct conf_values live;   /* the newest version */
-	struct store_position end; /* of the topic when it was read */
-	int err;		   /* of the last call */
-	int last;		   /* log: how many versions to print */
-	bool print_log;
-	bool writing; /* the call under way is a write */
+	struct store_position end; /* of the topic at the last read */
+	int err;		   /* result of the last call */
+	int last;		   /* log: number of versions to print */
+	bool print_log; /* print the records instead of decoding them */
+	bool writing;	/* the pending call is a write */
 };
 
-/* Takes the newest version out of a listing. */
+/* Decodes the newest version of the settings from a listing. */
 static void decode_live(struct ctl *c, const struct store_result *r)
 {
 	conf_clear(&c->live);
@@ -48,6 +48,7 @@
 	c->end = r->end;
 }
 
+/* Prints the last c->last versions of the topic, one per line. */
 static void print_versions(struct ctl *c, const struct store_result *r)
 {
 	size_t skip = r->nrecords > (size_t)c->last
@@ -65,6 +66,7 @@
 	}
 }
 
+/* Handles the result of a store call and ends the wait. */
 static void on_done(void *priv, const struct store_result *r)
 {
 	struct ctl *c = priv;
@@ -77,6 +79,7 @@
 	ev_break(c->loop, EVBREAK_ALL);
 }
 
+/* Runs the loop until the pending call is done. Returns its result. */
 static int await_call(struct ctl *c)
 {
 	if (c->store.call != STORE_NO_CALL)
@@ -84,14 +87,14 @@
 	return c->err;
 }
 
-/* Reads the newest version. */
+/* Reads the newest version into c->live. */
 static int read_live(struct ctl *c)
 {
 	store_newest(&c->store, CONF_TOPIC, LSTR(""));
 	return await_call(c);
 }
 
-/* Writes the version in c->live if the topic still ends where it did. */
+/* Appends c->live on condition that the topic still ends at c->end. */
 static int write_live(struct ctl *c)
 {
 	struct buf record = {0};
@@ -107,6 +110,7 @@
 	return rc;
 }
 
+/* Prints all settings, sorted by key. */
 static void print_values(const struct conf_values *v)
 {
 	GList *keys = g_list_sort(g_hash_table_get_keys(v->values),
@@ -117,7 +121,7 @@
 	g_list_free(keys);
 }
 
-/* One figure of an instance's metrics; -1: not there. */
+/* Returns the value of a metric, or -1 if the text doesn't have it. */
 static double metric_value(const char *metrics, const char *name)
 {
 	char *key = g_strdup_printf("\n%s ", name);
@@ -128,7 +132,7 @@
 	return v;
 }
 
-/* One short line for each entry instance: fits a phone's screen. */
+/* Prints one line per entry instance, short enough for a phone's screen. */
 static int print_status(const struct deploy *d)
 {
 	int unreachable = 0;
@@ -142,13 +146,13 @@
 		buf_add(&body, "\n", 1);
 		if (fetch(en->listen, "GET", "/admin/metrics",
 			  METRICS_TIMEOUT_MS, &body) != 200) {
-			printf("%-8s no answer\n", en->name);
+			printf("%-8s no response\n", en->name);
 			unreachable++;
 			buf_free(&body);
 			continue;
 		}
 		buf_add(&body, "", 1);
-		/* Instances count the settings as version 1. */
+		/* Instances number the settings file as version 1. */
 		printf("%-8s %7.0f %7.0f %5.0f %5.0f %5.0f\n", en->name,
 		       metric_value(body.ptr, "config_version") - 1,
 		       metric_value(body.ptr, "backend_list_age_ms"),
@@ -160,7 +164,7 @@
 	return unreachable ? EXIT_UNREACHABLE : 0;
 }
 
-/* The version that an entry instance says it has in force; 0: none. */
+/* Returns the version that an entry instance has applied; 0: unknown. */
 static uint64_t applied_version(const struct entry_opts *en)
 {
 	static const char name[] = "config_version ";
@@ -179,7 +183,7 @@
 	return version;
 }
 
-/* Asks every entry instance until all have the version, or too long. */
+/* Polls all entry instances until they applied a version; up to WAIT_MS. */
 static int wait_all_entries(const struct deploy *d, uint64_t version)
 {
 	int64_t t0 = clock_ms();
@@ -188,7 +192,7 @@
 	while (clock_ms() - t0 < WAIT_MS && applied < d->entries->len) {
 		applied = 0;
 		for (guint i = 0; i < d->entries->len; i++) {
-			/* Instances count the settings as version 1. */
+			/* Instances number the settings file as version 1. */
 			if (applied_version(d->entries->pdata[i]) >=
 			    version + 1)
 				applied++;
@@ -196,15 +200,16 @@
 		if (applied < d->entries->len)
 			usleep(WAIT_PAUSE_US);
 	}
-	printf("in force on %u of %u entries after %" PRId64 " ms\n", applied,
+	printf("applied by %u of %u entries after %" PRId64 " ms\n", applied,
 	       d->entries->len, clock_ms() - t0);
 	return applied == d->entries->len ? 0 : -ETIMEDOUT;
 }
 
 /*
- * Learns what became of a write whose answer was lost: it is there if its
- * patch made the newest version, and it never will be if another version was
- * written at its place. Returns 0, -ESTALE or -EIO.
+ * Finds out whether a write without a response was applied: it was if the
+ * newest version has its patch id, and never will be if another version was
+ * written at its offset. Returns 0 if it was applied, -ESTALE if it was not,
+ * -EAGAIN if it may be sent again, or -EIO if the store doesn't respond.
  */
 static int resolve_write(struct ctl *c, const char *patch_id, uint64_t version,
 			 struct store_position end)
@@ -218,8 +223,8 @@
 		if (c->live.version >= version)
 			return -ESTALE;
 		/*
-		 * Not written so far: once more under the same condition. One of
-		 * an earlier era can't hold any more.
+		 * Not written yet: send it again with the same condition. A
+		 * condition on an earlier era of the store can't be met.
 		 */
 		if (store_position_cmp(c->end, end) == 0 ||
 		    c->end.era != end.era)
@@ -228,16 +233,17 @@
 	return -EIO;
 }
 
+/* Reports a patch whose base version is no longer live. */
 static int print_rejected(uint64_t base, uint64_t live)
 {
-	printf("rejected: patch against version %" PRIu64
+	printf("rejected: the patch has base version %" PRIu64
 	       ", but version %" PRIu64
-	       " was live\nlook with 'ctl show', then patch again\n",
+	       " is live; run 'ctl show', then patch again\n",
 	       base, live);
 	return EXIT_REJECTED;
 }
 
-/* Writes the patch; a write without an answer is looked up by its id. */
+/* Writes the patch; looks up a write without a response by its patch id. */
 static int send_patch(struct ctl *c, const struct ctl_args *a, uint64_t base,
 		      const char *id)
 {
@@ -254,11 +260,12 @@
 			rc = resolve_write(c, id, base + 1, end);
 		else if (rc == -ESTALE && !read_live(c) &&
 			 !strcmp(c->live.patch_id, id))
-			rc = 0; /* the first of two writes came through */
+			rc = 0; /* an earlier attempt was applied */
 	} while (rc == -EAGAIN);
 	return rc;
 }
 
+/* Runs 'ctl patch'. Returns the exit status or -EINVAL. */
 static int do_patch(struct ctl *c, const struct ctl_args *a)
 {
 	uint64_t base = a->base >= 0 ? (uint64_t)a->base : c->live.version;
@@ -273,7 +280,7 @@
 		return rc;
 	}
 	if (rc) {
-		printf("unknown: the store did not answer; run 'ctl show' "
+		printf("unknown: the store did not respond; run 'ctl show' "
 		       "later\n");
 		return EXIT_UNKNOWN;
 	}
@@ -283,12 +290,13 @@
 	return 0;
 }
 
+/* Runs one command. Returns the exit status or a negative errno. */
 static int run(struct ctl *c, const struct ctl_args *a)
 {
 	if (!strcmp(a->cmd, "status"))
 		return print_status(c->deploy);
 	if (read_live(c)) {
-		printf("not sent: the store cannot be read (%s)\n",
+		printf("not sent: cannot read the store: %s\n",
 		       g_strerror(-c->err));
 		return EXIT_UNREACHABLE;
 	}
@@ -304,16 +312,17 @@
 	store_read(&c->store, CONF_TOPIC,
 		   (struct store_position){c->end.era, 0}, 0);
 	if (await_call(c) == -ERANGE)
-		printf("older versions are no longer kept; live is v%" PRIu64
-		       "\n",
+		printf("older versions were deleted; version %" PRIu64
+		       " is live\n",
 		       c->live.version);
 	return 0;
 }
 
 /*
- * ctl_main() runs one operator command; output fits a phone screen.
- * Returns 0, 1 for a rejected patch, 2 for an unknown outcome, 3 when the
- * store cannot be read (nothing was sent), or a negative errno.
+ * ctl_main() runs one operator command; its output fits a phone's screen.
+ * Returns 0, 1 for a rejected patch, 2 for an unknown outcome, 3 if the store
+ * can't be read (nothing was sent) or an entry doesn't respond to a status
+ * request, or a negative errno.
  */
 int ctl_main(const struct deploy *d, const struct ctl_args *a)
 {
--- a/tools/explain.c
+++ b/tools/explain.c
@@ -1,7 +1,8 @@
 /*
- * Gathers one request's story from the logs of any number of processes: its
- * lines in their order, each with what it says, and what the same processes
- * came to believe shortly before (servers that left, the store lost).
+ * Prints the history of one request from the logs of any number of processes:
+ * its log lines in order of time with a description each, and the state
+ * changes that the same processes logged shortly before (servers that left,
+ * loss of the store).
  */
 #include <errno.h>
 #include <stdio.h>
@@ -15,17 +16,18 @@
 
 enum {
 	LINE_BYTES = 4096,
-	/* What a process learned this long before is told as well. */
-	CONTEXT_S = 5,
+	CONTEXT_S = 5, /* also print state changes this long before */
 };
 
+/* A parsed line of a log. */
 struct log_line {
 	double ts;
 	int ev;
-	char *text;   /* from "ts=" on */
-	char *source; /* what stands before it: a file or process name */
+	char *text;   /* starting at "ts=" */
+	char *source; /* text before it: a file or process name */
 };
 
+/* Description of a log event. */
 struct event_text {
 	int ev;
 	const char *text;
@@ -38,24 +40,25 @@
 	{EV_REQUEST_UNKNOWN, "ended without an answer: it may have run"},
 	{EV_REQUEST_RETRY, "goes to another server"},
 	{EV_REQUEST_BROKEN, "the connection to a server broke under it"},
-	{EV_REQUEST_EXTRA, "a send beyond its first, from the retry budget"},
+	{EV_REQUEST_EXTRA, "an extra send, charged to the retry budget"},
 	{EV_REQUEST_WITHDRAWN, "not sent: the server became unavailable"},
-	{EV_LIMIT_SEND, "taken from the limit that the server names"},
-	{EV_REQUEST_GONE, "the caller left"},
-	{EV_REQUEST_NO_ROUTE, "no route takes it"},
-	{EV_CALL_FOREIGN_ANSWER, "a server's answer named another request"},
-	{EV_CONFIG_APPLIED, "a configuration version came into force"},
-	{EV_PLATFORM_UNREACHABLE, "the store stopped answering"},
-	{EV_PLATFORM_RECOVERED, "the store answers again"},
-	{EV_MEMBER_LEAVING, "a server drains"},
-	{EV_MEMBER_GONE, "a server is off the list"},
-	{EV_BACKEND_DOWN, "a server doesn't answer questions"},
-	{EV_LIMIT_NAMED, "a server names a limit"},
-	{EV_LIMIT_ENDED, "a server names no limit any more"},
-	{EV_STOPPING, "the instance began to stop"},
+	{EV_LIMIT_SEND, "sent within the rate limit of the server"},
+	{EV_REQUEST_GONE, "the caller disconnected"},
+	{EV_REQUEST_NO_ROUTE, "no route matches"},
+	{EV_CALL_FOREIGN_ANSWER, "a server's response was for another request"},
+	{EV_CONFIG_APPLIED, "a configuration version was applied"},
+	{EV_PLATFORM_UNREACHABLE, "the store stopped responding"},
+	{EV_PLATFORM_RECOVERED, "the store responds again"},
+	{EV_MEMBER_LEAVING, "a server started to drain"},
+	{EV_MEMBER_GONE, "a server was removed from the list"},
+	{EV_BACKEND_DOWN, "a server doesn't respond to probes"},
+	{EV_LIMIT_NAMED, "a server set a rate limit"},
+	{EV_LIMIT_ENDED, "a server removed its rate limit"},
+	{EV_STOPPING, "the instance started to shut down"},
 	{EV_STARTED, "the instance started"},
 };
 
+/* Returns the description of an event, or NULL if it has none. */
 static const char *describe_event(int ev)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(event_texts); i++) {
@@ -65,7 +68,7 @@
 	return NULL;
 }
 
-/* Reads the lines that are ours; whatever a collector put before stays. */
+/* Reads all log lines; text that a log collector put before them is kept. */
 static GArray *read_lines(FILE *in)
 {
 	GArray *lines = g_array_new(FALSE, FALSE, sizeof(struct log_line));
@@ -86,6 +89,7 @@
 	return lines;
 }
 
+/* Orders lines by time. */
 static int compare_ts(gconstpointer a, gconstpointer b)
 {
 	const struct log_line *x = a, *y = b;
@@ -93,7 +97,7 @@
 	return x->ts < y->ts ? -1 : x->ts > y->ts;
 }
 
-/* Tells whether a line names the id, as a whole value. */
+/* Whether the value of a line's id field is exactly `id`. */
 static bool has_id(const struct log_line *l, const char *id)
 {
 	char *key = g_strdup_printf(" id=%s ", id);
@@ -103,14 +107,14 @@
 	return found;
 }
 
-/* What a process believes, not what it did with some request. */
+/* Whether an event reports a state change rather than a step of a request. */
 static bool is_state_event(int ev)
 {
 	return ev < EV_CALL_FOREIGN_ANSWER && ev != EV_MEMBER_JOINED &&
 	       describe_event(ev);
 }
 
-/* The part of a line after its level, which is the same on all. */
+/* Returns the fields after the level; those before it are on every line. */
 static const char *fields_of(const struct log_line *l)
 {
 	const char *p = strstr(l->text, " level=");
@@ -119,6 +123,7 @@
 	return p ? p + 1 : l->text;
 }
 
+/* Prints a line with its time since t0 and its description. */
 static void print_line(const struct log_line *l, double t0)
 {
 	const char *text = describe_event(l->ev);
@@ -129,8 +134,8 @@
 }
 
 /*
- * explain_main() reads logs from standard input. Returns 0, or -ENOENT when
- * no line names the request.
+ * explain_main() prints the history of request `id` from the logs on standard
+ * input. Returns 0, or -ENOENT if no line has this id.
  */
 int explain_main(const char *id)
 {
@@ -149,7 +154,7 @@
 		g_hash_table_add(sources, l->source);
 	}
 	if (!last) {
-		fprintf(stderr, "explain: no line names id=%s\n", id);
+		fprintf(stderr, "explain: no log line has id=%s\n", id);
 		return -ENOENT;
 	}
 	for (guint i = 0; i < lines->len; i++) {
--- a/tools/fetch.c
+++ b/tools/fetch.c
@@ -9,14 +9,16 @@
 	struct http_client http;
 	struct ev_loop *loop;
 	struct buf *body;
-	int result; /* status, or -errno */
+	int result; /* HTTP status or -errno */
 };
 
+/* Accepts any response head. */
 static enum http_verdict judge(void *priv, const struct http_message *m)
 {
 	return HTTP_TAKE;
 }
 
+/* Stores the status and the body, and ends the wait. */
 static void on_response(void *priv, struct http_message *m)
 {
 	struct exchange *x = priv;
@@ -27,6 +29,7 @@
 	ev_break(x->loop, EVBREAK_ALL);
 }
 
+/* Stores the error and ends the wait. */
 static void on_failed(void *priv, int err, bool sent)
 {
 	struct exchange *x = priv;
@@ -39,8 +42,9 @@
 	.judge = judge, .response = on_response, .failed = on_failed};
 
 /*
- * fetch() sends a request without a body to "a.b.c.d:port" and appends the
- * answer's body to `body`. Returns the status, or a negative errno.
+ * fetch() sends a request without a body to "a.b.c.d:port", waits for the
+ * response and appends its body to `body`. Returns the HTTP status or a
+ * negative errno.
  */
 int fetch(const char *addr, const char *method, const char *target,
 	  int timeout_ms, struct buf *body)
--- a/tools/fetch.h
+++ b/tools/fetch.h
@@ -1,4 +1,4 @@
-/* One HTTP exchange with a wait, for the command line tools. */
+/* Blocking HTTP request for the command line tools. */
 #ifndef MP_TOOLS_FETCH_H
 #define MP_TOOLS_FETCH_H
 
--- a/tools/load.c
+++ b/tools/load.c
@@ -12,11 +12,11 @@
 
 enum {
 	DEADLINE_MS = 1000,
-	DEADLINE_SLACK_MS = 500, /* an answer this much late still counts */
+	DEADLINE_SLACK_MS = 500, /* wait this much longer for a response */
 	TICK_MS = 1,
 };
 
-/* One call under way; its connection is closed after it. */
+/* A call in flight; each call has a connection of its own. */
 struct call {
 	struct load *load;
 	struct http_client http;
@@ -26,12 +26,13 @@
 	bool busy;
 };
 
+/* Accepts any response head. */
 static enum http_verdict judge(void *priv, const struct http_message *m)
 {
 	return HTTP_TAKE;
 }
 
-/* Sorts an answer by what it says of the call. */
+/* Counts a response by its outcome. */
 static void count_answer(struct call *c, const struct http_message *m)
 {
 	struct service_load *s = c->service;
@@ -45,7 +46,7 @@
 		       (m->status == 200 && !c->key[0] && !strstr(body, c->id));
 
 	if (foreign)
-		s->foreign++; /* never to be seen: another's answer */
+		s->foreign++; /* response to another call: a fault */
 	else if (m->status == 200)
 		s->done++;
 	else if (lstr_eq(outcome, LSTR("not-run")) && m->status >= 500) {
@@ -60,6 +61,7 @@
 	g_free(body);
 }
 
+/* Frees the slot of a call. */
 static void finish_call(struct call *c)
 {
 	c->service->calls++;
@@ -67,6 +69,7 @@
 	c->load->in_flight--;
 }
 
+/* Handles the response of a call. */
 static void on_response(void *priv, struct http_message *m)
 {
 	struct call *c = priv;
@@ -77,11 +80,12 @@
 	finish_call(c);
 }
 
+/* Handles a call that ended without a response. */
 static void on_failed(void *priv, int err, bool sent)
 {
 	struct call *c = priv;
 
-	/* A whole request was sent and its connection ended unanswered. */
+	/* The request was sent in full, then the connection was closed. */
 	if (sent && err != -ETIMEDOUT)
 		c->service->cut++;
 	else
@@ -92,6 +96,7 @@
 static const struct http_client_ops ops = {
 	.judge = judge, .response = on_response, .failed = on_failed};
 
+/* Picks a service at random, weighted by its worker slots. */
 static struct service_load *pick_service(struct load *l)
 {
 	int x = g_rand_int_range(l->rand, 0, l->total_weight);
@@ -104,7 +109,7 @@
 	return &l->services[l->nservices - 1];
 }
 
-/* Writes the request of a call as callers of the own interface do. */
+/* Writes the request of a call, in the format of the call interface. */
 static void write_request(struct call *c, struct buf *b)
 {
 	const struct service_opts *o = c->service->opts;
@@ -120,7 +125,7 @@
 	buf_add_lstr(b, LSTR("Content-Length: 2\r\n\r\n{}"));
 }
 
-/* Where the call goes: an entry instance, or straight to a server. */
+/* Returns the address to call: an entry instance or a backend server. */
 static int call_addr(struct load *l, const struct service_opts *o,
 		     struct sockaddr_in *sa)
 {
@@ -133,6 +138,7 @@
 	return socket_addr(addr, sa);
 }
 
+/* Starts a call to a random service. */
 static void start_call(struct load *l, struct call *c)
 {
 	struct http_limits limits = {.head_max = 65536, .body_max = 1 << 20};
@@ -164,7 +170,7 @@
 	l->seq++;
 }
 
-/* Starts what the open-loop schedule has due, as far as slots are free. */
+/* Starts the calls that are due by the open-loop schedule, in free slots. */
 static void on_tick(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct load *l = t->data;
@@ -186,7 +192,7 @@
 	}
 }
 
-/* load_run() makes calls at the rate and for the time asked for. */
+/* load_run() makes calls at the configured rate and for the configured time. */
 void load_run(struct load *l)
 {
 	ev_timer tick;
--- a/tools/load_main.c
+++ b/tools/load_main.c
@@ -9,12 +9,12 @@
 
 enum { FETCH_TIMEOUT_MS = 1000 };
 
-/* What the servers' own records say. */
+/* Violations that the servers' own records show. */
 struct run_check {
 	uint64_t duplicates, false_not_run, probes, late;
 };
 
-/* Takes the addresses out of an entry list ("addr":"a.b.c.d:port"). */
+/* Collects the addresses of an entry list ("addr":"a.b.c.d:port"). */
 static void parse_addresses(const char *json, GPtrArray *found)
 {
 	static const char name[] = "\"addr\":\"";
@@ -29,7 +29,7 @@
 	}
 }
 
-/* Asks an entry instance which ones to use, as a caller does. */
+/* Gets the list of entry instances from one of them, as a caller does. */
 static void fetch_entries(struct load *l)
 {
 	GPtrArray *found = g_ptr_array_new();
@@ -52,7 +52,7 @@
 	l->entries = (char **)g_ptr_array_free(found, FALSE);
 }
 
-/* Takes one line of a server's statistics. */
+/* Checks one line of a server's statistics. */
 static void check_stats_line(const struct service_load *s, const char *line,
 			     struct run_check *rc)
 {
@@ -60,7 +60,7 @@
 	char key[64];
 	int runs;
 
-	/* NOLINTBEGIN(cert-err34-c): our own stand-in writes the lines */
+	/* NOLINTBEGIN(cert-err34-c): written by stand/server_stats.c */
 	if (sscanf(line, "probes %" SCNu64, &n) == 1)
 		rc->probes += n;
 	else if (sscanf(line, "late %" SCNu64, &n) == 1)
@@ -74,6 +74,7 @@
 	/* NOLINTEND(cert-err34-c) */
 }
 
+/* Fetches and checks the statistics of one server. */
 static void check_server(const struct service_load *s, int index,
 			 struct run_check *rc)
 {
@@ -93,6 +94,7 @@
 	buf_free(&body);
 }
 
+/* Prints the results of one service. */
 static void print_service(const struct service_load *s)
 {
 	printf("%-8s %-12s %7" PRIu64 " %7" PRIu64 " %6" PRIu64 " %6" PRIu64
@@ -103,6 +105,7 @@
 	       hist_quantile(&s->hist, 0.999) / 1000.0);
 }
 
+/* Prints the results of all services and of the checks. */
 static void report(const struct load *l, const struct run_check *rc)
 {
 	uint64_t all = 0, foreign = 0, cut = 0;
@@ -118,16 +121,17 @@
 	}
 	printf("calls cut in flight %" PRIu64 "\n", cut);
 	printf("calls %" PRIu64
-	       " over %d s (%.0f/s); questions at servers %" PRIu64 "\n",
+	       " over %d s (%.0f/s); probes at servers %" PRIu64 "\n",
 	       all, l->args->seconds, (double)all / l->args->seconds,
 	       rc->probes);
-	printf("invariants: foreign answers %" PRIu64
-	       ", protected runs twice %" PRIu64
-	       ", told not-run but ran %" PRIu64
+	printf("invariants: foreign responses %" PRIu64
+	       ", protected calls run twice %" PRIu64
+	       ", reported not-run but ran %" PRIu64
 	       ", new work after leaving %" PRIu64 "\n",
 	       foreign, rc->duplicates, rc->false_not_run, rc->late);
 }
 
+/* Selects the services to call. */
 static void add_services(struct load *l)
 {
 	const struct deploy *d = l->deploy;
@@ -151,6 +155,7 @@
 	}
 }
 
+/* Frees what load_main() allocated. */
 static void load_free(struct load *l)
 {
 	for (unsigned i = 0; i < l->nservices; i++)
@@ -161,9 +166,10 @@
 }
 
 /*
- * load_main() drives the tenants' workloads through the entries. Returns 0,
- * -ENOTCONN when no entry answered, or -EPROTO when an invariant broke (a
- * foreign answer, a protected action run twice, a false "not run").
+ * load_main() generates the load and checks the results. Returns 0, -ENOTCONN
+ * if no entry responded, or -EPROTO if an invariant was violated: a response to
+ * another call, a protected call that ran twice, or one that ran although it
+ * was reported as not run.
  */
 int load_main(const struct deploy *d, const struct load_args *a)
 {
@@ -176,14 +182,14 @@
 	add_services(&l);
 	fetch_entries(&l);
 	if ((!l.nentries && !a->direct) || !l.nservices) {
-		fprintf(stderr, "load: no entry answered with a live list\n");
+		fprintf(stderr, "load: no entry returned an instance list\n");
 		load_free(&l);
 		return -ENOTCONN;
 	}
-	printf("load: seed %u, %d calls/s for %d s, %d in flight at most, "
+	printf("load: seed %u, %d calls/s for %d s, at most %d in flight, "
 	       "%s\n",
 	       a->seed, a->rate, a->seconds, a->concurrency,
-	       a->direct ? "straight to the servers" : "through the entries");
+	       a->direct ? "directly to the servers" : "through the entries");
 	load_run(&l);
 	for (unsigned i = 0; i < l.nservices; i++) {
 		for (int k = 0; k < l.services[i].opts->workers; k++)
