--- a/stand/backend.c
+++ b/stand/backend.c
@@ -1,10 +1,10 @@
 /*
- * A backend server as a stand-in, over the published protocol: it registers
- * in the store, runs requests on its slots, reports its load, refuses or
- * hangs when it is full, answers for another start with 421, and drains on
- * SIGTERM. A request whose path or body holds the service's fatal_word ends
- * the process that runs it. POST /stand/faults makes it misbehave, see
- * stand/faults.h.
+ * Simulated backend server, over the published protocol: it registers in the
+ * store, runs requests on its slots, reports its load, rejects requests or
+ * hangs when it is full, responds with 421 to requests for another start of the
+ * server, and drains on SIGTERM. A request whose path or body contains the
+ * service's fatal_word crashes the process. POST /stand/faults injects faults,
+ * see stand/faults.h.
  */
 #include <errno.h>
 #include <inttypes.h>
@@ -19,19 +19,21 @@
 #include "stand/server.h"
 
 enum {
-	DRAIN_MS = 5000,       /* how long a leaving server works on */
-	LEAVE_BOUND_MS = 3000, /* new work after this is late */
+	DRAIN_MS = 5000,       /* time from SIGTERM to the stop, at least */
+	LEAVE_GRACE_MS = 3000, /* requests after this count as late */
 	HEAD_MAX = 16384,
 	BODY_MAX = 1 << 20,
-	FATAL_MS = 40, /* a fatal request runs so long before the end */
+	FATAL_DELAY_MS = 40, /* run time of a fatal request before the crash */
 	EXIT_FATAL = 70,
 };
 
-static bool happens(struct server *s, int pct)
+/* Whether a fault with this chance per request occurs now. */
+static bool fault_occurs(struct server *s, int pct)
 {
 	return pct && g_rand_int_range(s->work.rand, 0, 100) < pct;
 }
 
+/* Adds the header that reports the load. */
 static void add_load(struct server *s, struct buf *b)
 {
 	buf_printf(b, "Server-Load: %u,%u,%u,%u\r\n", s->work.running,
@@ -39,27 +41,30 @@
 		   work_slowdown_pct(&s->work, clock_ms()));
 }
 
+/* Adds the header that sets a rate limit, if there is one. */
 static void add_limit(struct server *s, struct buf *b)
 {
 	if (s->faults.limit_odd)
 		buf_printf(b, "Server-Limit: as many as you like\r\n");
-	else if (s->need.named)
-		buf_printf(b, "Server-Limit: %g\r\n", s->need.per_s);
+	else if (s->limit_check.active)
+		buf_printf(b, "Server-Limit: %g\r\n", s->limit_check.per_s);
 }
 
+/* Whether responses announce that the server drains. */
 static bool is_draining(const struct server *s)
 {
-	return s->leaving_ms || s->faults.draining;
+	return s->drain_start_ms || s->faults.draining;
 }
 
-/* The lifetime of the instance that sends m, as its Via header names it. */
-static struct lstr sender(const struct http_message *m)
+/* Returns the lifetime of the sending instance, from the Via header. */
+static struct lstr sender_lifetime(const struct http_message *m)
 {
 	struct lstr via = http_find_header(m, LSTR("Via"));
 
 	return via.ptr ? via : LSTR("");
 }
 
+/* Adds the header that announces the drain, if the server drains. */
 static void add_draining(struct server *s, struct lstr to, struct buf *b)
 {
 	if (!is_draining(s))
@@ -68,6 +73,7 @@
 	audit_draining(&s->audit, to, clock_ms());
 }
 
+/* Adds the header that asks for a backoff, if a fault says so. */
 static void add_backoff(struct server *s, struct lstr to, struct buf *b)
 {
 	if (s->faults.backoff_odd) {
@@ -80,15 +86,18 @@
 	audit_backoff(&s->audit, to, s->faults.backoff_milli, clock_ms());
 }
 
+/* Sends a response; closes the connection after it if the server drains. */
 static void reply(struct server *s, struct http_conn *c, unsigned status,
 		  const struct buf *headers, struct lstr body)
 {
-	http_conn_reply(c, &(struct http_reply){.status = status,
-						.headers = buf_lstr(headers),
-						.body = body,
-						.close = s->leaving_ms != 0});
+	http_conn_reply(c,
+			&(struct http_reply){.status = status,
+					     .headers = buf_lstr(headers),
+					     .body = body,
+					     .close = s->drain_start_ms != 0});
 }
 
+/* Rejects a request, with the header that guarantees that it did not run. */
 static void reply_not_run(struct server *s, struct http_conn *c,
 			  const struct http_message *m, unsigned status)
 {
@@ -97,13 +106,14 @@
 	buf_printf(&h, "Not-Executed: 1\r\nInstance-Id: %s\r\n", s->id);
 	add_load(s, &h);
 	add_limit(s, &h);
-	add_draining(s, sender(m), &h);
+	add_draining(s, sender_lifetime(m), &h);
 	if (status == 503)
-		add_backoff(s, sender(m), &h);
+		add_backoff(s, sender_lifetime(m), &h);
 	reply(s, c, status, &h, LSTR(""));
 	buf_free(&h);
 }
 
+/* Frees a job and its request. */
 static void job_free(struct job *j)
 {
 	ev_timer_stop(j->server->loop, &j->timer);
@@ -111,7 +121,8 @@
 	g_free(j);
 }
 
-static void write_answer(struct job *j, struct buf *headers, struct buf *body)
+/* Writes headers and body of the response to a request that ran. */
+static void write_response(struct job *j, struct buf *headers, struct buf *body)
 {
 	struct server *s = j->server;
 	struct lstr id = http_find_header(j->message, LSTR("Attempt-Id"));
@@ -120,31 +131,31 @@
 		   (int)id.len, id.ptr, (int)id.len, id.ptr);
 	add_load(s, headers);
 	add_limit(s, headers);
-	add_draining(s, sender(j->message), headers);
+	add_draining(s, sender_lifetime(j->message), headers);
 	buf_printf(body,
 		   "{\"req\":\"%.*s\",\"backend\":\"%s\","
 		   "\"service\":\"%s\"}",
 		   (int)id.len, id.ptr, s->id, s->service->name);
 }
 
-/* Answers, or fails to in the way that the faults ask for. */
-static void job_answer(struct job *j)
+/* Sends the response, unless a fault loses, truncates or duplicates it. */
+static void job_respond(struct job *j)
 {
 	struct server *s = j->server;
 	struct http_conn *c = j->conn;
 	struct buf headers = {0}, body = {0}, raw = {0};
 
-	write_answer(j, &headers, &body);
+	write_response(j, &headers, &body);
 	http_conn_set_user(c, NULL);
 	buf_printf(&raw, "HTTP/1.1 200 OK\r\n%.*sContent-Length: %zu\r\n\r\n",
 		   (int)headers.len, headers.ptr, body.len);
 	buf_add_lstr(&raw, buf_lstr(&body));
-	if (happens(s, s->faults.lost_pct)) {
+	if (fault_occurs(s, s->faults.lost_pct)) {
 		http_conn_abort(c);
-	} else if (happens(s, s->faults.cut_pct)) {
+	} else if (fault_occurs(s, s->faults.cut_pct)) {
 		raw.len -= body.len / 2;
 		http_conn_reply_raw(c, buf_lstr(&raw), true);
-	} else if (happens(s, s->faults.extra_pct)) {
+	} else if (fault_occurs(s, s->faults.extra_pct)) {
 		size_t n = raw.len;
 
 		buf_reserve(&raw, n);
@@ -160,24 +171,26 @@
 
 static void job_run(struct job *j);
 
+/* Ends a job, sends its response and starts the next one in the queue. */
 static void job_end(struct job *j)
 {
-	struct job *next = work_leave(&j->server->work);
+	struct job *next = work_finish(&j->server->work);
 
 	if (j->conn)
-		job_answer(j);
+		job_respond(j);
 	job_free(j);
 	if (next)
 		job_run(next);
 }
 
-static void on_worked(struct ev_loop *loop, ev_timer *t, int revents)
+/* The run time of a job has passed. */
+static void on_work_done(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	job_end(t->data);
 }
 
-/* The process ends at once, as after a fault of its own. */
-static void on_fatal(struct ev_loop *loop, ev_timer *t, int revents)
+/* Exits at once, as in a crash. */
+static void on_fatal_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct job *j = t->data;
 
@@ -187,40 +200,43 @@
 	_exit(EXIT_FATAL);
 }
 
-static bool holds(struct lstr text, const char *word)
+/* Whether the text contains a word that isn't empty. */
+static bool contains(struct lstr text, const char *word)
 {
 	return *word && text.len &&
 	       memmem(text.ptr, text.len, word, strlen(word)) != NULL;
 }
 
+/* Whether a request crashes the server. */
 static bool is_fatal(const struct job *j)
 {
 	const char *word = j->server->service->fatal_word;
 
-	return holds(j->message->target, word) ||
-	       holds(buf_lstr(&j->message->body), word);
+	return contains(j->message->target, word) ||
+	       contains(buf_lstr(&j->message->body), word);
 }
 
+/* Runs a job for a random time. */
 static void job_run(struct job *j)
 {
 	struct server *s = j->server;
 	struct lstr key = http_find_header(j->message, LSTR("Idempotency-Key"));
 	double ms = work_duration_ms(&s->work, clock_ms());
-	char *text;
+	char *key_text;
 
 	if (!key.ptr)
 		key = http_find_header(j->message, LSTR("Attempt-Id"));
-	text = g_strndup(key.ptr, key.len);
-	work_note_run(&s->work, text);
-	g_free(text);
+	key_text = g_strndup(key.ptr, key.len);
+	work_record_run(&s->work, key_text);
+	g_free(key_text);
 	j->waiting = false;
-	ev_timer_init(&j->timer, is_fatal(j) ? on_fatal : on_worked,
-		      (is_fatal(j) ? FATAL_MS : ms) / 1000, 0);
+	ev_timer_init(&j->timer, is_fatal(j) ? on_fatal_timer : on_work_done,
+		      (is_fatal(j) ? FATAL_DELAY_MS : ms) / 1000, 0);
 	j->timer.data = j;
 	ev_timer_start(s->loop, &j->timer);
 }
 
-/* The sender closed its connection: its request is dropped. */
+/* The sender closed its connection: drops its request. */
 static void on_gone(void *priv, struct http_conn *c)
 {
 	struct job *j = http_conn_user(c);
@@ -228,7 +244,7 @@
 	if (!j)
 		return;
 	j->conn = NULL;
-	if (j->refused) {
+	if (j->rejected) {
 		job_free(j);
 	} else if (j->waiting) {
 		work_cancel(&j->server->work, j);
@@ -238,7 +254,8 @@
 	}
 }
 
-static void turn_away(struct job *j)
+/* Rejects a job. */
+static void job_reject(struct job *j)
 {
 	if (j->conn) {
 		http_conn_set_user(j->conn, NULL);
@@ -247,38 +264,40 @@
 	job_free(j);
 }
 
-static void on_turn_away(struct ev_loop *loop, ev_timer *t, int revents)
+/* Sends a delayed rejection. */
+static void on_reject_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	turn_away(t->data);
+	job_reject(t->data);
 }
 
-/* Turns a request away, at once or late. */
-static void turn_away_in(struct job *j, int ms)
+/* Rejects a job after a delay; 0: at once. */
+static void job_reject_after(struct job *j, int ms)
 {
 	if (!ms) {
-		turn_away(j);
+		job_reject(j);
 		return;
 	}
-	j->refused = true;
-	ev_timer_init(&j->timer, on_turn_away, ms / 1000.0, 0);
+	j->rejected = true;
+	ev_timer_init(&j->timer, on_reject_timer, ms / 1000.0, 0);
 	j->timer.data = j;
 	ev_timer_start(j->server->loop, &j->timer);
 }
 
-/* Each call counts, also those that a fault turns away. */
-static enum work_entry enter(struct server *s, struct job *j)
+/* Admits a job, or rejects it by a fault; counts both as calls. */
+static enum work_admission admit_job(struct server *s, struct job *j)
 {
-	if (!happens(s, s->faults.shed_pct))
-		return work_enter(&s->work, j);
+	if (!fault_occurs(s, s->faults.shed_pct))
+		return work_admit(&s->work, j);
 	s->work.calls++;
 	s->work.refused++;
 	return WORK_FULL;
 }
 
-static void do_work(struct server *s, struct http_conn *c,
-		    struct http_message *m)
+/* Handles a request for the service. */
+static void handle_work(struct server *s, struct http_conn *c,
+			struct http_message *m)
 {
-	struct lstr only = http_find_header(m, LSTR("Target-Instance"));
+	struct lstr target_id = http_find_header(m, LSTR("Target-Instance"));
 	struct job *j;
 
 	if (!http_find_header(m, LSTR("Attempt-Id")).ptr) {
@@ -286,24 +305,25 @@
 		http_message_free(m);
 		return;
 	}
-	if (only.ptr && !lstr_eq(only, lstr0(s->id))) {
+	if (target_id.ptr && !lstr_eq(target_id, lstr0(s->id))) {
 		reply_not_run(s, c, m, 421);
 		http_message_free(m);
 		return;
 	}
-	if (s->leaving_ms && clock_ms() - s->leaving_ms > LEAVE_BOUND_MS)
+	if (s->drain_start_ms &&
+	    clock_ms() - s->drain_start_ms > LEAVE_GRACE_MS)
 		s->work.late++;
-	need_arrived(&s->need, clock_ms());
-	audit_request(&s->audit, sender(m), false, clock_ms());
+	limit_check_request(&s->limit_check, clock_ms());
+	audit_request(&s->audit, sender_lifetime(m), false, clock_ms());
 	j = g_new0(struct job, 1);
 	j->server = s;
 	j->conn = c;
 	j->message = m;
-	ev_init(&j->timer, on_worked);
+	ev_init(&j->timer, on_work_done);
 	http_conn_set_user(c, j);
-	if (happens(s, s->faults.hang_pct))
+	if (fault_occurs(s, s->faults.hang_pct))
 		return;
-	switch (enter(s, j)) {
+	switch (admit_job(s, j)) {
 	case WORK_RUN:
 		job_run(j);
 		break;
@@ -311,30 +331,32 @@
 		j->waiting = true;
 		break;
 	case WORK_FULL:
-		/* Some services never answer what they can't queue. */
+		/* Some services never respond to what they can't queue. */
 		if (!s->service->hangs || s->faults.backoff_milli >= 0)
-			turn_away_in(j, s->faults.late_ms);
+			job_reject_after(j, s->faults.late_ms);
 		break;
 	}
 }
 
-static void do_health(struct server *s, struct http_conn *c,
-		      const struct http_message *m)
+/* Handles a probe of health and load. */
+static void handle_health(struct server *s, struct http_conn *c,
+			  const struct http_message *m)
 {
 	struct buf h = {0};
 
 	s->work.probes++;
-	audit_request(&s->audit, sender(m), true, clock_ms());
+	audit_request(&s->audit, sender_lifetime(m), true, clock_ms());
 	buf_printf(&h, "Instance-Id: %s\r\n", s->id);
 	add_load(s, &h);
 	if (s->faults.limit_asked)
 		add_limit(s, &h);
-	add_draining(s, sender(m), &h);
+	add_draining(s, sender_lifetime(m), &h);
 	reply(s, c, is_draining(s) ? 503 : 200, &h, LSTR(""));
 	buf_free(&h);
 }
 
-static void do_stats(struct server *s, struct http_conn *c)
+/* Handles a request for the statistics. */
+static void handle_stats(struct server *s, struct http_conn *c)
 {
 	struct buf b = {0}, none = {0};
 
@@ -343,8 +365,9 @@
 	buf_free(&b);
 }
 
-static void do_faults(struct server *s, struct http_conn *c,
-		      const struct query *q)
+/* Handles a request that sets faults or controls the audit. */
+static void handle_faults(struct server *s, struct http_conn *c,
+			  const struct query *q)
 {
 	struct faults *f = &s->faults;
 	struct buf none = {0};
@@ -356,38 +379,40 @@
 		audit_resume(&s->audit);
 	if (query_text(q, "excuse"))
 		audit_excuse(&s->audit, query_text(q, "excuse"));
-	/* What is no number names no limit that could be kept. */
-	need_set(&s->need, f->limit_milli >= 0 && !f->limit_odd,
-		 f->limit_milli / 1000.0, clock_ms());
+	/* A limit that is no number can't be complied with. */
+	limit_check_set(&s->limit_check, f->limit_milli >= 0 && !f->limit_odd,
+			f->limit_milli / 1000.0, clock_ms());
 	s->work.quiet = f->quiet;
 	reply(s, c, 200, &none, LSTR(""));
 }
 
+/* Dispatches a request by its path. */
 static void on_request(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct server *s = priv;
 	struct query q;
 	char *path = query_split(m->target, &q);
-	bool own = true;
+	bool handled = true;
 
 	if (!strcmp(path, STAND_HEALTH_PATH))
-		do_health(s, c, m);
+		handle_health(s, c, m);
 	else if (!strcmp(path, "/stand/stats"))
-		do_stats(s, c);
+		handle_stats(s, c);
 	else if (!strcmp(path, "/stand/faults"))
-		do_faults(s, c, &q);
+		handle_faults(s, c, &q);
 	else
-		own = false;
+		handled = false;
 	g_free(path);
 	query_free(&q);
-	if (own)
+	if (handled)
 		http_message_free(m);
 	else
-		do_work(s, c, m);
+		handle_work(s, c, m);
 }
 
 static const struct http_server_ops ops = {on_request, on_gone};
 
+/* Stops the server once DRAIN_MS have passed and no request is open. */
 static void on_drained(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct server *s = t->data;
@@ -401,29 +426,31 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
+/* SIGTERM: starts to drain. */
 static void on_term(struct ev_loop *loop, ev_signal *w, int revents)
 {
 	struct server *s = w->data;
 
-	if (s->leaving_ms)
+	if (s->drain_start_ms)
 		return;
-	s->leaving_ms = clock_ms();
+	s->drain_start_ms = clock_ms();
 	mp_event(EV_STOPPING, G_LOG_LEVEL_MESSAGE,
-		 "backend %s leaving; drains for %d ms", s->id, DRAIN_MS);
-	server_list_write(s);
-	ev_timer_init(&s->drained, on_drained, DRAIN_MS / 1000.0, 0.1);
-	s->drained.data = s;
-	ev_timer_start(loop, &s->drained);
+		 "backend %s draining for %d ms", s->id, DRAIN_MS);
+	server_register(s);
+	ev_timer_init(&s->drain_timer, on_drained, DRAIN_MS / 1000.0, 0.1);
+	s->drain_timer.data = s;
+	ev_timer_start(loop, &s->drain_timer);
 }
 
-static int prepare(struct server *s, const struct deploy *d,
-		   const char *service, int index, unsigned seed)
+/* Initializes the server from the deployment. Returns 0 or a negative errno. */
+static int server_init(struct server *s, const struct deploy *d,
+		       const char *service, int index, unsigned seed)
 {
 	s->service = deploy_service(d, service);
 	if (!s->service ||
 	    deploy_worker_addr(s->service, index, s->addr, sizeof(s->addr)) ||
-	    deploy_worker_advertised_addr(s->service, index, s->told,
-					  sizeof(s->told)))
+	    deploy_worker_advertised_addr(s->service, index, s->advertised_addr,
+					  sizeof(s->advertised_addr)))
 		return -ENOENT;
 	snprintf(s->id, sizeof(s->id), "%s-%d-%x", service, index,
 		 g_random_int());
@@ -432,7 +459,7 @@
 		  sizeof(s->dc));
 	work_init(&s->work, (unsigned)s->service->slots, s->service->work_ms,
 		  seed ^ (unsigned)index * 2654435761U, clock_ms());
-	need_init(&s->need);
+	limit_check_init(&s->limit_check);
 	audit_init(&s->audit);
 	faults_init(&s->faults);
 	s->http.limits = (struct http_limits){HEAD_MAX, BODY_MAX};
@@ -442,16 +469,16 @@
 }
 
 /*
- * stand_backend_main() runs server `index` of a service until SIGTERM; then
- * it says that it leaves, works on for a while, and stops when every request
- * has its answer. Returns 0 or a negative errno.
+ * stand_backend_main() runs server `index` of a service until SIGTERM. It then
+ * announces that it drains, keeps running for DRAIN_MS and stops when every
+ * request has its response. Returns 0 or a negative errno.
  */
 int stand_backend_main(const struct deploy *d, const char *service, int index,
 		       unsigned seed)
 {
 	struct server s = {.loop = ev_default_loop(EVFLAG_NOENV)};
 	ev_signal term;
-	int rc = prepare(&s, d, service, index, seed);
+	int rc = server_init(&s, d, service, index, seed);
 
 	if (rc)
 		return rc;
@@ -463,7 +490,7 @@
 	}
 	mp_event(EV_STARTED, G_LOG_LEVEL_MESSAGE, "backend %s on %s in %s",
 		 s.id, s.addr, s.dc);
-	server_list_start(&s);
+	server_register_start(&s);
 	ev_signal_init(&term, on_term, SIGTERM);
 	term.data = &s;
 	ev_signal_start(s.loop, &term);
--- a/stand/operator.c
+++ b/stand/operator.c
@@ -1,8 +1,7 @@
 /*
- * The users' operator as a stand-in: writes one whole configuration version
- * with a route for each service of the deployment. Host SERVICE.example,
- * path prefix /work/; and one that only this version has: host newest.example,
- * prefix /vVERSION/.
+ * Simulated operator: writes a configuration version with a route for each
+ * service of the deployment (host SERVICE.example, path prefix /work/) and one
+ * that only this version has (host newest.example, path prefix /vVERSION/).
  */
 #include <errno.h>
 #include <stdio.h>
@@ -13,12 +12,14 @@
 
 enum { TIMEOUT_MS = 1000, TARGET_MS = 200, MAX_ATTEMPTS = 2 };
 
+/* Packs a field with a number. */
 static void pack_number(msgpack_packer *pk, const char *name, uint64_t v)
 {
 	codec_pack_cstr(pk, name);
 	msgpack_pack_uint64(pk, v);
 }
 
+/* Packs one route under its name. */
 static void pack_route(msgpack_packer *pk, const char *name, const char *prefix,
 		       const struct service_opts *s)
 {
@@ -42,6 +43,7 @@
 	pack_number(pk, "maxAttempts", MAX_ATTEMPTS);
 }
 
+/* Writes the record of a configuration version. */
 static void write_config(const struct deploy *d, uint64_t version,
 			 struct buf *out)
 {
@@ -76,16 +78,16 @@
 	}
 }
 
-/* Waits until a write is answered or has failed. */
-static int finish_put(struct ev_loop *loop, struct http_client *http,
-		      unsigned served)
+/* Waits for the response to a write. Returns 0 or -EIO. */
+static int await_put(struct ev_loop *loop, struct http_client *http,
+		     unsigned served)
 {
 	while (http->state == CLIENT_CONNECTING || http->state == CLIENT_BUSY)
 		ev_run(loop, EVRUN_ONCE);
 	return http->served > served ? 0 : -EIO;
 }
 
-/* stand_operator_main() writes the version and returns 0 or -errno. */
+/* stand_operator_main() writes the version. Returns 0 or a negative errno. */
 int stand_operator_main(const struct deploy *d, uint64_t version)
 {
 	struct ev_loop *loop = ev_default_loop(EVFLAG_NOENV);
@@ -100,13 +102,13 @@
 	stand_put(&http, loop, &store, STORE_TOPIC_CONFIG,
 		  lstr0(STORE_KEY_CONFIG), buf_lstr(&value));
 	buf_free(&value);
-	rc = finish_put(loop, &http, 0);
+	rc = await_put(loop, &http, 0);
 	http_client_close(&http);
 	return rc;
 }
 
-/* The entry of a server that isn't there, spread over the services. */
-static void write_fake(const struct deploy *d, int i, struct buf *value)
+/* Writes the entry of a nonexistent server; i selects the service in turn. */
+static void write_fake_entry(const struct deploy *d, int i, struct buf *value)
 {
 	const struct service_opts *s =
 		d->services->pdata[(guint)i % d->services->len];
@@ -132,8 +134,8 @@
 }
 
 /*
- * stand_fill_main() writes entries of servers `from` to `to` - 1 that aren't
- * there, to measure what a long list costs. Returns 0 or -errno.
+ * stand_fill_main() writes entries of nonexistent servers `from` to `to` - 1,
+ * to measure the cost of a long list. Returns 0 or a negative errno.
  */
 int stand_fill_main(const struct deploy *d, int from, int to)
 {
@@ -148,11 +150,11 @@
 		char id[32];
 
 		snprintf(id, sizeof(id), "fake-%d", i);
-		write_fake(d, i, &value);
+		write_fake_entry(d, i, &value);
 		stand_put(&http, loop, &store, STORE_TOPIC_BACKENDS, lstr0(id),
 			  buf_lstr(&value));
 		buf_free(&value);
-		rc = finish_put(loop, &http, served);
+		rc = await_put(loop, &http, served);
 	}
 	http_client_close(&http);
 	return rc;
--- a/stand/query.h
+++ b/stand/query.h
@@ -1,4 +1,4 @@
-/* A request target split into its path and the items of its query. */
+/* Parser of request targets: path and query parameters. */
 #ifndef MP_STAND_QUERY_H
 #define MP_STAND_QUERY_H
 
@@ -8,13 +8,14 @@
 
 #include "misc/lstr.h"
 
+/* The parameters of a query string. */
 struct query {
-	GHashTable *items;
+	GHashTable *params;
 };
 
 char *query_split(struct lstr target, struct query *q);
 const char *query_text(const struct query *q, const char *name);
-int64_t query_int(const struct query *q, const char *name, int64_t standard);
+int64_t query_int(const struct query *q, const char *name, int64_t fallback);
 void query_free(struct query *q);
 
 #endif
--- a/stand/server.h
+++ b/stand/server.h
@@ -1,43 +1,44 @@
-/* A stand-in of a backend server, between the parts of its program. */
+/* A simulated backend server, shared by the files that implement it. */
 #ifndef MP_STAND_SERVER_H
 #define MP_STAND_SERVER_H
 
 #include "http/server.h"
 #include "stand/faults.h"
-#include "stand/need.h"
+#include "stand/limit_check.h"
 #include "stand/audit.h"
 #include "stand/stand.h"
 #include "stand/work.h"
 
+/* State of the server process. */
 struct server {
 	struct ev_loop *loop;
 	const struct service_opts *service;
 	struct http_server http;
 	struct work work;
 	struct faults faults;
-	struct need need;
+	struct limit_check limit_check;
 	struct audit audit;
 	char id[BACKEND_NAME_MAX], addr[32], dc[BACKEND_NAME_MAX];
 	struct http_client store;
 	struct sockaddr_in store_addr;
-	ev_timer beat, drained;
-	char told[64]; /* where others reach it */
-	unsigned beats;
-	int64_t leaving_ms; /* 0: not leaving */
+	ev_timer register_timer, drain_timer;
+	char advertised_addr[64]; /* its own or the proxy's */
+	unsigned registrations;
+	int64_t drain_start_ms; /* when it began to drain; 0: not draining */
 };
 
-/* A request that runs or waits. */
+/* A request that is running, waiting or about to be rejected. */
 struct job {
 	struct server *server;
-	struct http_conn *conn; /* NULL: the sender has left */
+	struct http_conn *conn; /* NULL: the sender disconnected */
 	struct http_message *message;
 	ev_timer timer;
 	bool waiting;
-	bool refused; /* it is turned away when its timer ends */
+	bool rejected; /* rejected when the timer expires */
 };
 
 void server_write_stats(struct buf *out, const struct server *s);
-void server_list_start(struct server *s);
-void server_list_write(struct server *s);
+void server_register_start(struct server *s);
+void server_register(struct server *s);
 
 #endif
--- a/stand/store.c
+++ b/stand/store.c
@@ -1,12 +1,15 @@
 /*
- * The platform's store as a stand-in, over the published calls that the
- * product uses: append (conditions, producers), read with a wait, the newest
- * of each key, trim. Faults are switched on by POST /stand/faults?NAME=VALUE:
- *   down=busy|silent|reset|no   slow_ms=N   lost_pct=N   forget=1
- *   changes_only=0|1: what repeats a server's entry is no record
- * and those of stand/drill.h.
- * Backend servers and the operator write through POST /stand/append, since
- * the system itself may not write to their topics.
+ * Simulated store of the platform, with the published calls that the system
+ * uses: append (conditions, producers), long-polling read, newest record of
+ * each key, trim. POST /stand/faults?NAME=VALUE sets faults:
+ *   down=busy|silent|reset|no  be down: respond 503, don't respond, or close
+ *   slow_ms=N                  delay responses
+ *   lost_pct=N                 append, but close without a response
+ *   forget=1                   delete the history, not the newest of each key
+ *   changes_only=0|1           don't append renewals of a server's entry
+ * and those of stand/backup.h.
+ * Backend servers and the operator write through POST /stand/append, since the
+ * system itself is not permitted to write to their topics.
  */
 #include <errno.h>
 #include <stdlib.h>
@@ -17,8 +20,8 @@
 #include "misc/clock.h"
 #include "misc/codec.h"
 #include "platform/store.h"
-#include "stand/drill.h"
-#include "stand/lapse.h"
+#include "stand/backup.h"
+#include "stand/lease.h"
 #include "stand/listing.h"
 #include "stand/log.h"
 #include "stand/query.h"
@@ -31,30 +34,31 @@
 	BODY_MAX = 4 << 20,
 };
 
+/* State of the store process. */
 struct store {
 	struct ev_loop *loop;
 	struct http_server http;
-	GHashTable *topics; /* "topic/part" -> struct log_part * */
-	GList *parked;	    /* struct parked * */
-	struct drill drill;
+	GHashTable *topics;  /* "topic/part" -> struct log_part * */
+	GList *held_replies; /* struct held_reply * */
+	struct backup backup;
 	char down[16];
 	int slow_ms, lost_pct;
-	struct lapse beats;
-	ev_timer lapse;
-	int append_limit; /* a second */
-	int64_t limit_s;
+	struct lease leases;
+	ev_timer lease_timer;
+	int append_limit; /* appends per second */
+	int64_t limit_s;  /* second that `appends` counts */
 	int appends;
 	GRand *rand;
 };
 
-/* A read that waits for a record, or an answer that is held back. */
-struct parked {
+/* A read that waits for a record, or a delayed response. */
+struct held_reply {
 	struct store *store;
 	struct http_conn *conn;
 	ev_timer timer;
-	struct log_part *part; /* of a read */
-	char *name;	       /* of that partition */
-	uint64_t era;	       /* in which the answer was made */
+	struct log_part *part; /* of a read; else NULL */
+	char *name;	       /* name of the partition */
+	uint64_t era;	       /* in which the response was made */
 	uint64_t from;
 	size_t max;
 	bool is_read;
@@ -62,6 +66,7 @@
 	struct buf body;
 };
 
+/* Returns the partition name "topic/part" of a query, to be freed. */
 static char *part_name(const struct query *q)
 {
 	const char *topic = query_text(q, "topic");
@@ -70,7 +75,8 @@
 	return g_strdup_printf("%s/%s", topic ? topic : "", part ? part : "0");
 }
 
-static struct log_part *part_named(struct store *s, const char *name)
+/* Returns a partition; creates it if it is new. */
+static struct log_part *get_part(struct store *s, const char *name)
 {
 	struct log_part *p = g_hash_table_lookup(s->topics, name);
 
@@ -81,112 +87,121 @@
 	return p;
 }
 
+/* Returns the partition of a query. */
 static struct log_part *find_part(struct store *s, const struct query *q)
 {
 	char *name = part_name(q);
-	struct log_part *p = part_named(s, name);
+	struct log_part *p = get_part(s, name);
 
 	g_free(name);
 	return p;
 }
 
-static void reply_of_era(struct store *s, struct http_conn *c, uint64_t era,
+/* Sends a response with the header of an era. */
+static void reply_in_era(struct store *s, struct http_conn *c, uint64_t era,
 			 unsigned status, struct lstr body)
 {
 	struct buf headers = {0};
 
-	drill_write_era(&s->drill, era, &headers);
+	backup_write_era(&s->backup, era, &headers);
 	http_conn_reply(c, &(struct http_reply){.status = status,
 						.headers = buf_lstr(&headers),
 						.body = body});
 	buf_free(&headers);
 }
 
+/* Sends a response in the current era. */
 static void reply(struct store *s, struct http_conn *c, unsigned status,
 		  struct lstr body)
 {
-	reply_of_era(s, c, s->drill.era, status, body);
+	reply_in_era(s, c, s->backup.era, status, body);
 }
 
-static void parked_free(struct parked *k)
+/* Frees a held response without sending it. */
+static void held_reply_free(struct held_reply *held)
 {
-	k->store->parked = g_list_remove(k->store->parked, k);
-	ev_timer_stop(k->store->loop, &k->timer);
-	buf_free(&k->body);
-	g_free(k->name);
-	g_free(k);
+	held->store->held_replies =
+		g_list_remove(held->store->held_replies, held);
+	ev_timer_stop(held->store->loop, &held->timer);
+	buf_free(&held->body);
+	g_free(held->name);
+	g_free(held);
 }
 
-/* Answers a parked read with what is there now. */
-static void finish_parked(struct parked *k)
+/* Sends a held response; a read returns the records that exist now. */
+static void send_held_reply(struct held_reply *held)
 {
-	struct http_conn *c = k->conn;
-	struct buf body = k->body;
-	unsigned status = k->status;
-	struct store *s = k->store;
-	uint64_t era = k->is_read ? s->drill.era : k->era;
-
-	k->body = (struct buf){0};
-	if (k->is_read && log_read(k->part, k->from, k->max, &body))
+	struct http_conn *c = held->conn;
+	struct buf body = held->body;
+	unsigned status = held->status;
+	struct store *s = held->store;
+	uint64_t era = held->is_read ? s->backup.era : held->era;
+
+	held->body = (struct buf){0};
+	if (held->is_read && log_read(held->part, held->from, held->max, &body))
 		status = 410;
-	parked_free(k);
+	held_reply_free(held);
 	http_conn_set_user(c, NULL);
-	reply_of_era(s, c, era, status, buf_lstr(&body));
+	reply_in_era(s, c, era, status, buf_lstr(&body));
 	buf_free(&body);
 }
 
-static void on_parked_timer(struct ev_loop *loop, ev_timer *t, int revents)
+/* The wait of a read or the delay of a response has ended. */
+static void on_held_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
-	finish_parked(t->data);
+	send_held_reply(t->data);
 }
 
-static struct parked *park(struct store *s, struct http_conn *c, int ms)
+/* Holds the response on a connection for up to `ms`. */
+static struct held_reply *hold_reply(struct store *s, struct http_conn *c,
+				     int ms)
 {
-	struct parked *k = g_new0(struct parked, 1);
-
-	k->store = s;
-	k->conn = c;
-	k->status = 200;
-	k->era = s->drill.era;
-	ev_timer_init(&k->timer, on_parked_timer, ms / 1000.0, 0);
-	k->timer.data = k;
-	ev_timer_start(s->loop, &k->timer);
-	s->parked = g_list_prepend(s->parked, k);
-	http_conn_set_user(c, k);
-	return k;
+	struct held_reply *held = g_new0(struct held_reply, 1);
+
+	held->store = s;
+	held->conn = c;
+	held->status = 200;
+	held->era = s->backup.era;
+	ev_timer_init(&held->timer, on_held_timer, ms / 1000.0, 0);
+	held->timer.data = held;
+	ev_timer_start(s->loop, &held->timer);
+	s->held_replies = g_list_prepend(s->held_replies, held);
+	http_conn_set_user(c, held);
+	return held;
 }
 
-/* Answers, later if the store is slow; takes the body's memory. */
-static void reply_slowly(struct store *s, struct http_conn *c, unsigned status,
-			 struct buf *body)
+/* Sends a response, delayed if the store is slow; takes over the body. */
+static void reply_delayed(struct store *s, struct http_conn *c, unsigned status,
+			  struct buf *body)
 {
-	struct parked *k;
+	struct held_reply *held;
 
 	if (s->slow_ms == 0) {
 		reply(s, c, status, buf_lstr(body));
 		buf_free(body);
 		return;
 	}
-	k = park(s, c, s->slow_ms);
-	k->status = status;
-	k->body = *body;
+	held = hold_reply(s, c, s->slow_ms);
+	held->status = status;
+	held->body = *body;
 	*body = (struct buf){0};
 }
 
-/* Wakes the reads that wait for a record of this partition. */
+/* Completes the reads that wait for a record of this partition. */
 static void wake_reads(struct store *s, const struct log_part *p)
 {
 	GList *next;
 
-	for (GList *l = s->parked; l; l = next) {
-		struct parked *k = l->data;
+	for (GList *l = s->held_replies; l; l = next) {
+		struct held_reply *held = l->data;
 
 		next = l->next;
-		if (k->is_read && k->part == p)
-			finish_parked(k);
+		if (held->is_read && held->part == p)
+			send_held_reply(held);
 	}
 }
 
+/* Counts an append; whether it exceeds the limit of this second. */
 static bool over_limit(struct store *s)
 {
 	int64_t now_s = clock_ms() / 1000;
@@ -198,24 +213,26 @@
 	return ++s->appends > s->append_limit;
 }
 
+/* Returns the HTTP status of a result. */
 static unsigned status_of(enum log_outcome rc)
 {
 	switch (rc) {
 	case LOG_OK:
 		return 200;
-	case LOG_MOVED:
+	case LOG_CONFLICT:
 		return 412;
-	case LOG_FENCED:
-	case LOG_SEQ:
+	case LOG_STALE_EPOCH:
+	case LOG_BAD_SEQ:
 		return 409;
-	case LOG_GONE:
+	case LOG_OUT_OF_RANGE:
 		return 410;
-	case LOG_BAD:
+	case LOG_MALFORMED:
 		break;
 	}
 	return 400;
 }
 
+/* Writes the response body of an append. */
 static void write_positions(struct buf *body, const struct log_position *pos)
 {
 	msgpack_packer pk;
@@ -228,23 +245,23 @@
 	msgpack_pack_uint64(&pk, pos->end);
 }
 
-/* Drops the entries of servers that have not written for too long. */
-static void on_lapse(struct ev_loop *loop, ev_timer *t, int revents)
+/* Removes the entries of servers whose lease expired. */
+static void on_lease_timer(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct store *s = t->data;
 	struct log_part *p =
 		g_hash_table_lookup(s->topics, STORE_TOPIC_BACKENDS "/0");
 
-	if (p && lapse_drop(&s->beats, p, clock_ms()))
+	if (p && lease_expire(&s->leases, p, clock_ms()))
 		wake_reads(s, p);
 }
 
-static void do_append(struct store *s, struct http_conn *c,
-		      const struct query *q, const struct http_message *m)
+static void handle_append(struct store *s, struct http_conn *c,
+			  const struct query *q, const struct http_message *m)
 {
 	struct log_part *p = find_part(s, q);
 	struct log_condition cond = {
-		.at = query_int(q, "at", -1),
+		.expected_end = query_int(q, "at", -1),
 		.producer = query_text(q, "producer"),
 		.epoch = query_int(q, "epoch", 0),
 		.seq = query_int(q, "sequenceNumber", 0),
@@ -257,14 +274,14 @@
 		reply(s, c, 429, LSTR(""));
 		return;
 	}
-	if (lapse_is_repeat(&s->beats, p, q, buf_lstr(&m->body))) {
+	if (lease_is_repeat(&s->leases, p, q, buf_lstr(&m->body))) {
 		pos = (struct log_position){log_end(p), log_end(p)};
 		rc = LOG_OK;
 	} else {
 		rc = log_append(p, buf_lstr(&m->body), &cond, &pos);
 	}
 	if (rc == LOG_OK) {
-		lapse_note(&s->beats, q, buf_lstr(&m->body), clock_ms());
+		lease_renew(&s->leases, q, buf_lstr(&m->body), clock_ms());
 		wake_reads(s, p);
 	}
 	if (rc == LOG_OK && g_rand_int_range(s->rand, 0, 100) < s->lost_pct) {
@@ -272,49 +289,52 @@
 		return;
 	}
 	write_positions(&body, &pos);
-	reply_slowly(s, c, status_of(rc), &body);
+	reply_delayed(s, c, status_of(rc), &body);
 }
 
-static void do_read(struct store *s, struct http_conn *c, const struct query *q)
+/* Handles a read; it waits if there are no new records yet. */
+static void handle_read(struct store *s, struct http_conn *c,
+			const struct query *q)
 {
 	struct log_part *p = find_part(s, q);
 	uint64_t from = (uint64_t)query_int(q, "startRevision", 0);
 	int64_t wait = query_int(q, "waitMs", 0);
 	size_t max = (size_t)query_int(q, "maxKb", READ_DEFAULT_KB) << 10;
 	struct buf body = {0};
-	struct parked *k;
+	struct held_reply *held;
 
 	if (from == log_end(p) && wait > 0) {
-		k = park(s, c, (int)MIN(wait, WAIT_MAX_MS));
-		k->is_read = true;
-		k->part = p;
-		k->name = part_name(q);
-		k->from = from;
-		k->max = max;
+		held = hold_reply(s, c, (int)MIN(wait, WAIT_MAX_MS));
+		held->is_read = true;
+		held->part = p;
+		held->name = part_name(q);
+		held->from = from;
+		held->max = max;
 		return;
 	}
 	enum log_outcome rc = log_read(p, from, max, &body);
 
-	reply_slowly(s, c, status_of(rc), &body);
+	reply_delayed(s, c, status_of(rc), &body);
 }
 
-static void do_newest(struct store *s, struct http_conn *c,
-		      const struct query *q)
+static void handle_list(struct store *s, struct http_conn *c,
+			const struct query *q)
 {
 	struct buf body = {0};
 
 	listing_write(find_part(s, q), query_text(q, "after"), &body);
-	reply_slowly(s, c, 200, &body);
+	reply_delayed(s, c, 200, &body);
 }
 
-static void do_trim(struct store *s, struct http_conn *c, const struct query *q)
+static void handle_trim(struct store *s, struct http_conn *c,
+			const struct query *q)
 {
 	log_trim(find_part(s, q), (uint64_t)query_int(q, "before", 0));
 	reply(s, c, 200, LSTR(""));
 }
 
-/* Deletes the history; the newest of each key stays. */
-static void forget(struct store *s)
+/* Deletes the history of all topics, but not the newest record of each key. */
+static void trim_all(struct store *s)
 {
 	GHashTableIter it;
 	gpointer v;
@@ -324,40 +344,42 @@
 		log_trim(v, log_end(v));
 }
 
-/* What becomes of a read that waits while the store comes back from a copy. */
-static void disturb_read(struct store *s, struct parked *k, const char *how)
+/* Handles a read that waits during a restore, as `how` says. */
+static void interrupt_read(struct store *s, struct held_reply *held,
+			   const char *how)
 {
-	struct http_conn *c = k->conn;
+	struct http_conn *c = held->conn;
 
 	if (!strcmp(how, "reset")) {
-		parked_free(k);
+		held_reply_free(held);
 		http_conn_abort(c);
 	} else if (!strcmp(how, "answer")) {
-		k->part = part_named(s, k->name);
-		finish_parked(k);
+		held->part = get_part(s, held->name);
+		send_held_reply(held);
 	} else {
 		http_conn_set_user(c, NULL);
-		parked_free(k);
+		held_reply_free(held);
 	}
 }
 
-static void restore(struct store *s, const char *how)
+/* Restores the backup and interrupts the reads that wait. */
+static void restore_backup(struct store *s, const char *how)
 {
-	GList *parked = g_list_copy(s->parked);
+	GList *reads = g_list_copy(s->held_replies);
 
-	s->topics = drill_restore(&s->drill);
-	lapse_restart(&s->beats, part_named(s, STORE_TOPIC_BACKENDS "/0"),
+	s->topics = backup_restore(&s->backup);
+	lease_restart(&s->leases, get_part(s, STORE_TOPIC_BACKENDS "/0"),
 		      clock_ms());
-	for (GList *l = parked; l; l = l->next) {
-		if (g_list_find(s->parked, l->data) &&
-		    ((struct parked *)l->data)->is_read)
-			disturb_read(s, l->data, how);
+	for (GList *l = reads; l; l = l->next) {
+		if (g_list_find(s->held_replies, l->data) &&
+		    ((struct held_reply *)l->data)->is_read)
+			interrupt_read(s, l->data, how);
 	}
-	g_list_free(parked);
+	g_list_free(reads);
 }
 
-static void do_faults(struct store *s, struct http_conn *c,
-		      const struct query *q)
+static void handle_faults(struct store *s, struct http_conn *c,
+			  const struct query *q)
 {
 	const char *down = query_text(q, "down");
 	const char *how = query_text(q, "restore");
@@ -367,19 +389,19 @@
 			  sizeof(s->down));
 	s->slow_ms = (int)query_int(q, "slow_ms", s->slow_ms);
 	s->lost_pct = (int)query_int(q, "lost_pct", s->lost_pct);
-	drill_set(&s->drill, q);
-	s->beats.changes_only =
-		query_int(q, "changes_only", s->beats.changes_only);
+	backup_set(&s->backup, q);
+	s->leases.changes_only =
+		query_int(q, "changes_only", s->leases.changes_only);
 	if (query_int(q, "copy", 0))
-		drill_copy(&s->drill, s->topics);
+		backup_save(&s->backup, s->topics);
 	if (how)
-		restore(s, how);
+		restore_backup(s, how);
 	if (query_int(q, "forget", 0))
-		forget(s);
+		trim_all(s);
 	reply(s, c, 200, LSTR(""));
 }
 
-/* Answers as a store that is down; true when it is. */
+/* If the store is down, responds as such and returns true. */
 static bool is_down(struct store *s, struct http_conn *c)
 {
 	if (!*s->down)
@@ -391,8 +413,8 @@
 	return true;
 }
 
-/* The system may not write what the operator and the servers write. */
-static bool is_foreign_topic(const struct query *q)
+/* Whether only the operator or backend servers are permitted to write. */
+static bool is_protected_topic(const struct query *q)
 {
 	const char *topic = query_text(q, "topic");
 
@@ -400,6 +422,7 @@
 			 !strcmp(topic, STORE_TOPIC_BACKENDS));
 }
 
+/* Dispatches a request by its path. */
 static void on_request(void *priv, struct http_conn *c, struct http_message *m)
 {
 	struct store *s = priv;
@@ -407,19 +430,19 @@
 	char *path = query_split(m->target, &q);
 
 	if (!strcmp(path, "/stand/faults"))
-		do_faults(s, c, &q);
+		handle_faults(s, c, &q);
 	else if (is_down(s, c))
-		g_debug("request while down");
+		g_debug("request ignored: the store is down");
 	else if (!strcmp(path, "/log-read"))
-		do_read(s, c, &q);
+		handle_read(s, c, &q);
 	else if (!strcmp(path, "/log-newest"))
-		do_newest(s, c, &q);
-	else if (!strcmp(path, "/log-append") && is_foreign_topic(&q))
+		handle_list(s, c, &q);
+	else if (!strcmp(path, "/log-append") && is_protected_topic(&q))
 		reply(s, c, 403, LSTR(""));
 	else if (!strcmp(path, "/log-append") || !strcmp(path, "/stand/append"))
-		do_append(s, c, &q, m);
+		handle_append(s, c, &q, m);
 	else if (!strcmp(path, "/log-trim"))
-		do_trim(s, c, &q);
+		handle_trim(s, c, &q);
 	else
 		reply(s, c, 404, LSTR(""));
 	g_free(path);
@@ -427,12 +450,13 @@
 	http_message_free(m);
 }
 
+/* The client closed its connection: drops its response. */
 static void on_gone(void *priv, struct http_conn *c)
 {
-	struct parked *k = http_conn_user(c);
+	struct held_reply *held = http_conn_user(c);
 
-	if (k)
-		parked_free(k);
+	if (held)
+		held_reply_free(held);
 }
 
 static const struct http_server_ops ops = {on_request, on_gone};
@@ -442,7 +466,7 @@
 	ev_break(loop, EVBREAK_ALL);
 }
 
-/* stand_store_main() serves the stand-in until SIGTERM. */
+/* stand_store_main() runs the store until SIGTERM. Returns 0 or -errno. */
 int stand_store_main(const struct deploy *d)
 {
 	struct store s = {.append_limit = d->platform.append_limit_per_s};
@@ -451,12 +475,12 @@
 
 	s.loop = ev_default_loop(EVFLAG_NOENV);
 	s.topics = g_hash_table_new(g_str_hash, g_str_equal);
-	drill_init(&s.drill);
-	lapse_init(&s.beats, d->platform.member_ttl_ms);
+	backup_init(&s.backup);
+	lease_init(&s.leases, d->platform.member_ttl_ms);
 	s.rand = g_rand_new();
-	ev_timer_init(&s.lapse, on_lapse, 0.2, 0.2);
-	s.lapse.data = &s;
-	ev_timer_start(s.loop, &s.lapse);
+	ev_timer_init(&s.lease_timer, on_lease_timer, 0.2, 0.2);
+	s.lease_timer.data = &s;
+	ev_timer_start(s.loop, &s.lease_timer);
 	s.http.limits = (struct http_limits){HEAD_MAX, BODY_MAX};
 	s.http.head_timeout_s = 5;
 	s.http.idle_timeout_s = 3600;
--- a/tools/explain.c
+++ b/tools/explain.c
@@ -1,7 +1,8 @@
 /*
- * Gathers one request's story from the logs of any number of processes: its
- * lines in their order, each with what it says, and what the same processes
- * came to believe shortly before (servers that left, the store lost).
+ * Prints the history of one request from the logs of any number of processes:
+ * its log lines in order of time with a description each, and the state
+ * changes that the same processes logged shortly before (servers that left,
+ * loss of the store).
  */
 #include <errno.h>
 #include <stdio.h>
@@ -15,23 +16,24 @@
 
 enum {
 	LINE_BYTES = 4096,
-	/* What a process learned this long before is told as well. */
-	CONTEXT_S = 5,
+	CONTEXT_S = 5, /* also print state changes this long before */
 };
 
+/* A parsed line of a log. */
 struct log_line {
 	double ts;
 	int ev;
-	char *text;  /* from "ts=" on */
-	char *where; /* what stands before it: a file or process name */
+	char *text;   /* starting at "ts=" */
+	char *source; /* text before it: a file or process name */
 };
 
-struct meaning {
+/* Description of a log event. */
+struct event_text {
 	int ev;
 	const char *text;
 };
 
-static const struct meaning meanings[] = {
+static const struct event_text event_texts[] = {
 	{EV_REQUEST_SENT, "sent to a backend server"},
 	{EV_REQUEST_DONE, "answered by a backend server"},
 	{EV_REQUEST_REFUSED, "refused: it did not run and never will"},
@@ -40,35 +42,35 @@
 	{EV_REQUEST_RETRY, "goes to another server"},
 	{EV_REQUEST_CONNECTION_BROKEN,
 	 "the connection to a server broke under it"},
-	{EV_REQUEST_EXTRA_SEND,
-	 "a send beyond its first, from the retry budget"},
+	{EV_REQUEST_EXTRA_SEND, "an extra send, charged to the retry budget"},
 	{EV_REQUEST_SEND_CANCELED, "not sent: the server became unavailable"},
-	{EV_LIMIT_CHARGED, "taken from the limit that the server names"},
-	{EV_REQUEST_CALLER_LEFT, "the caller left"},
-	{EV_REQUEST_NO_ROUTE, "no route takes it"},
-	{EV_RESPONSE_MISMATCHED, "a server's answer named another request"},
-	{EV_CONFIG_APPLIED, "a configuration version came into force"},
-	{EV_PLATFORM_UNREACHABLE, "the store stopped answering"},
-	{EV_PLATFORM_RECOVERED, "the store answers again"},
-	{EV_MEMBER_LEAVING, "a server drains"},
-	{EV_MEMBER_REMOVED, "a server is off the list"},
-	{EV_BACKEND_DOWN, "a server doesn't answer questions"},
-	{EV_LIMIT_STARTED, "a server names a limit"},
-	{EV_LIMIT_ENDED, "a server names no limit any more"},
-	{EV_STOPPING, "the instance began to stop"},
+	{EV_LIMIT_CHARGED, "sent within the rate limit of the server"},
+	{EV_REQUEST_CALLER_LEFT, "the caller disconnected"},
+	{EV_REQUEST_NO_ROUTE, "no route matches"},
+	{EV_RESPONSE_MISMATCHED, "a server's response was for another request"},
+	{EV_CONFIG_APPLIED, "a configuration version was applied"},
+	{EV_PLATFORM_UNREACHABLE, "the store stopped responding"},
+	{EV_PLATFORM_RECOVERED, "the store responds again"},
+	{EV_MEMBER_LEAVING, "a server started to drain"},
+	{EV_MEMBER_REMOVED, "a server was removed from the list"},
+	{EV_BACKEND_DOWN, "a server doesn't respond to probes"},
+	{EV_LIMIT_STARTED, "a server set a rate limit"},
+	{EV_LIMIT_ENDED, "a server removed its rate limit"},
+	{EV_STOPPING, "the instance started to shut down"},
 	{EV_STARTED, "the instance started"},
 };
 
-static const char *meaning_of(int ev)
+/* Returns the description of an event, or NULL if it has none. */
+static const char *describe_event(int ev)
 {
-	for (size_t i = 0; i < G_N_ELEMENTS(meanings); i++) {
-		if (meanings[i].ev == ev)
-			return meanings[i].text;
+	for (size_t i = 0; i < G_N_ELEMENTS(event_texts); i++) {
+		if (event_texts[i].ev == ev)
+			return event_texts[i].text;
 	}
 	return NULL;
 }
 
-/* Reads the lines that are ours; whatever a collector put before stays. */
+/* Reads all log lines; text that a log collector put before them is kept. */
 static GArray *read_lines(FILE *in)
 {
 	GArray *lines = g_array_new(FALSE, FALSE, sizeof(struct log_line));
@@ -83,12 +85,13 @@
 		l.ts = g_ascii_strtod(ts + strlen("ts="), NULL);
 		l.ev = atoi(ev + strlen(" ev="));
 		l.text = g_strchomp(g_strdup(ts));
-		l.where = g_strchomp(g_strndup(buf, (gsize)(ts - buf)));
+		l.source = g_strchomp(g_strndup(buf, (gsize)(ts - buf)));
 		g_array_append_val(lines, l);
 	}
 	return lines;
 }
 
+/* Orders lines by time. */
 static int compare_ts(gconstpointer a, gconstpointer b)
 {
 	const struct log_line *x = a, *y = b;
@@ -96,8 +99,8 @@
 	return x->ts < y->ts ? -1 : x->ts > y->ts;
 }
 
-/* Tells whether a line names the id, as a whole value. */
-static bool names(const struct log_line *l, const char *id)
+/* Whether the value of a line's id field is exactly `id`. */
+static bool has_id(const struct log_line *l, const char *id)
 {
 	char *key = g_strdup_printf(" id=%s ", id);
 	bool found = strstr(l->text, key) != NULL;
@@ -106,14 +109,14 @@
 	return found;
 }
 
-/* What a process believes, not what it did with some request. */
-static bool is_belief(int ev)
+/* Whether an event reports a state change rather than a step of a request. */
+static bool is_state_event(int ev)
 {
 	return ev < EV_RESPONSE_MISMATCHED && ev != EV_MEMBER_JOINED &&
-	       meaning_of(ev);
+	       describe_event(ev);
 }
 
-/* The part of a line after its level, which is the same on all. */
+/* Returns the fields after the level; those before it are on every line. */
 static const char *fields_of(const struct log_line *l)
 {
 	const char *p = strstr(l->text, " level=");
@@ -122,46 +125,47 @@
 	return p ? p + 1 : l->text;
 }
 
+/* Prints a line with its time since t0 and its description. */
 static void print_line(const struct log_line *l, double t0)
 {
-	const char *text = meaning_of(l->ev);
+	const char *text = describe_event(l->ev);
 
 	printf("%+9.3f s  %s%s%s\n             ev=%d %s\n", l->ts - t0,
-	       l->where, *l->where ? " " : "", text ? text : "-", l->ev,
+	       l->source, *l->source ? " " : "", text ? text : "-", l->ev,
 	       fields_of(l));
 }
 
 /*
- * explain_main() reads logs from standard input. Returns 0, or -ENOENT when
- * no line names the request.
+ * explain_main() prints the history of request `id` from the logs on standard
+ * input. Returns 0, or -ENOENT if no line has this id.
  */
 int explain_main(const char *id)
 {
 	GArray *lines = read_lines(stdin);
 	double first = 0, last = 0;
-	GHashTable *seen = g_hash_table_new(g_str_hash, g_str_equal);
+	GHashTable *sources = g_hash_table_new(g_str_hash, g_str_equal);
 
 	g_array_sort(lines, compare_ts);
 	for (guint i = 0; i < lines->len; i++) {
 		struct log_line *l = &g_array_index(lines, struct log_line, i);
 
-		if (!names(l, id))
+		if (!has_id(l, id))
 			continue;
 		first = first ? first : l->ts;
 		last = l->ts;
-		g_hash_table_add(seen, l->where);
+		g_hash_table_add(sources, l->source);
 	}
 	if (!last) {
-		fprintf(stderr, "explain: no line names id=%s\n", id);
+		fprintf(stderr, "explain: no log line has id=%s\n", id);
 		return -ENOENT;
 	}
 	for (guint i = 0; i < lines->len; i++) {
 		struct log_line *l = &g_array_index(lines, struct log_line, i);
-		bool near = l->ts >= first - CONTEXT_S && l->ts <= last &&
-			    is_belief(l->ev) &&
-			    g_hash_table_contains(seen, l->where);
+		bool context = l->ts >= first - CONTEXT_S && l->ts <= last &&
+			       is_state_event(l->ev) &&
+			       g_hash_table_contains(sources, l->source);
 
-		if (near || names(l, id))
+		if (context || has_id(l, id))
 			print_line(l, first);
 	}
 	return 0;
--- a/tools/load.c
+++ b/tools/load.c
@@ -12,11 +12,11 @@
 
 enum {
 	DEADLINE_MS = 1000,
-	DEADLINE_SLACK_MS = 500, /* an answer this much late still counts */
+	DEADLINE_SLACK_MS = 500, /* wait this much longer for a response */
 	TICK_MS = 1,
 };
 
-/* One call under way; its connection is closed after it. */
+/* A call in flight; each call has a connection of its own. */
 struct call {
 	struct load *load;
 	struct http_client http;
@@ -26,12 +26,13 @@
 	bool busy;
 };
 
+/* Accepts any response head. */
 static enum http_match judge(void *priv, const struct http_message *m)
 {
 	return HTTP_MATCHED;
 }
 
-/* Sorts an answer by what it says of the call. */
+/* Counts a response by its outcome. */
 static void count_response(struct call *c, const struct http_message *m)
 {
 	struct service_load *s = c->service;
@@ -45,13 +46,13 @@
 		       (m->status == 200 && !c->key[0] && !strstr(body, c->id));
 
 	if (foreign)
-		s->foreign++; /* never to be seen: another's answer */
+		s->foreign++; /* response to another call: a fault */
 	else if (m->status == 200)
 		s->done++;
 	else if (lstr_eq(outcome, LSTR("not-run")) && m->status >= 500) {
 		s->not_run++;
 		if (c->key[0])
-			g_hash_table_add(s->told_not_run, g_strdup(c->key));
+			g_hash_table_add(s->reported_not_run, g_strdup(c->key));
 	} else if (lstr_eq(outcome, LSTR("unknown"))) {
 		s->unknown++;
 	} else {
@@ -60,13 +61,15 @@
 	g_free(body);
 }
 
-static void end_call(struct call *c)
+/* Frees the slot of a call. */
+static void finish_call(struct call *c)
 {
 	c->service->calls++;
 	c->busy = false;
-	c->load->open--;
+	c->load->in_flight--;
 }
 
+/* Handles the response of a call. */
 static void on_response(void *priv, struct http_message *m)
 {
 	struct call *c = priv;
@@ -74,24 +77,26 @@
 	count_response(c, m);
 	http_message_free(m);
 	http_client_close(&c->http);
-	end_call(c);
+	finish_call(c);
 }
 
+/* Handles a call that ended without a response. */
 static void on_failed(void *priv, int err, bool sent)
 {
 	struct call *c = priv;
 
-	/* A whole request was sent and its connection ended unanswered. */
+	/* The request was sent in full, then the connection was closed. */
 	if (sent && err != -ETIMEDOUT)
 		c->service->cut++;
 	else
 		c->service->refused++;
-	end_call(c);
+	finish_call(c);
 }
 
 static const struct http_client_ops ops = {
 	.match = judge, .response = on_response, .failed = on_failed};
 
+/* Picks a service at random, weighted by its worker slots. */
 static struct service_load *pick_service(struct load *l)
 {
 	int x = g_rand_int_range(l->rand, 0, l->total_weight);
@@ -104,7 +109,7 @@
 	return &l->services[l->nservices - 1];
 }
 
-/* Writes the request of a call as callers of the own interface do. */
+/* Writes the request of a call, in the format of the call interface. */
 static void write_request(struct call *c, struct buf *b)
 {
 	const struct service_opts *o = c->service->opts;
@@ -120,8 +125,8 @@
 	buf_add_lstr(b, LSTR("Content-Length: 2\r\n\r\n{}"));
 }
 
-/* Where the call goes: an entry instance, or straight to a server. */
-static int target_of(struct load *l, const struct service_opts *o,
+/* Returns the address to call: an entry instance or a backend server. */
+static int call_addr(struct load *l, const struct service_opts *o,
 		     struct sockaddr_in *sa)
 {
 	char addr[32];
@@ -133,10 +138,11 @@
 	return socket_parse_addr(addr, sa);
 }
 
+/* Starts a call to a random service. */
 static void start_call(struct load *l, struct call *c)
 {
 	struct http_limits limits = {.head_max = 65536, .body_max = 1 << 20};
-	double limit_s = (DEADLINE_MS + DEADLINE_SLACK_MS) / 1000.0;
+	double timeout_s = (DEADLINE_MS + DEADLINE_SLACK_MS) / 1000.0;
 	struct buf b = {0};
 	struct sockaddr_in sa;
 
@@ -150,21 +156,21 @@
 			 l->args->seed, l->run_id, l->seq);
 	c->start_us = clock_us();
 	c->busy = true;
-	l->open++;
-	if (target_of(l, c->service->opts, &sa) ||
-	    http_client_open(&c->http, l->loop, &sa, limit_s, limits, &ops,
+	l->in_flight++;
+	if (call_addr(l, c->service->opts, &sa) ||
+	    http_client_open(&c->http, l->loop, &sa, timeout_s, limits, &ops,
 			     c)) {
 		c->service->refused++;
-		end_call(c);
+		finish_call(c);
 		return;
 	}
 	write_request(c, &b);
-	http_client_send(&c->http, buf_lstr(&b), limit_s, false);
+	http_client_send(&c->http, buf_lstr(&b), timeout_s, false);
 	buf_free(&b);
 	l->seq++;
 }
 
-/* Starts what the open-loop schedule has due, as far as slots are free. */
+/* Starts the calls that are due by the open-loop schedule, in free slots. */
 static void on_tick(struct ev_loop *loop, ev_timer *t, int revents)
 {
 	struct load *l = t->data;
@@ -172,7 +178,7 @@
 	double gap_us = 1e6 / l->args->rate;
 
 	if (now >= l->end_us) {
-		if (l->open == 0)
+		if (l->in_flight == 0)
 			ev_break(loop, EVBREAK_ALL);
 		return;
 	}
@@ -186,8 +192,8 @@
 	}
 }
 
-/* load_drive() makes calls at the rate and for the time asked for. */
-void load_drive(struct load *l)
+/* load_run() makes calls at the configured rate and for the configured time. */
+void load_run(struct load *l)
 {
 	ev_timer tick;
 
