--- a/scripts/added-latency.sh
+++ b/scripts/added-latency.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Measures the latency an entry adds to a call: the same seeded load, in
-# turn through one entry and straight to the servers (quiet stand-ins, no
-# noise), PAIRS times each, on one machine. Prints one CSV row a run.
-# Stops what it started.
+# Measures the latency that an instance adds to a call: the same seeded load
+# runs alternately through one instance and directly to the servers, PAIRS times
+# each, on one machine. The servers are simulated, without noise. Prints one CSV
+# row per run. Every process started here is stopped here, by pid.
 #   scripts/added-latency.sh [RATE] [PAIRS]
 set -u
 cd "$(dirname "$0")/.."
@@ -11,6 +11,7 @@
 pairs=${2:-3}
 dir=$(mktemp -d)
 ini=$dir/bench.ini
+# Stops all processes and removes the scratch directory.
 stop_all() {
 	local_stop
 	rm -rf "$dir"
--- a/scripts/backoff-overload.sh
+++ b/scripts/backoff-overload.sh
@@ -1,8 +1,10 @@
 #!/bin/bash
-# Two of four servers turn requests away and ask to back off, while callers want more than
-# the other two can serve; prints what callers get and what the servers turned away.
+# Overload with backoffs: two of four servers reject requests and ask for
+# backoffs, while callers send more than the other two can serve. Prints the
+# outcomes of the calls and what the servers rejected.
 #   scripts/backoff-overload.sh [BACKOFF_MS [SHED_PCT [RATE [SECONDS [SEED]]]]]
-# BACKOFF_MS -1: they ask for none. MP_BIN names another program to compare with.
+# With BACKOFF_MS -1 they ask for no backoff. MP_BIN selects another program to
+# compare with, MP_PORT the base port.
 set -u
 cd "$(dirname "$0")/.."
 bin=${MP_BIN:-target/mimosapitch}
@@ -11,6 +13,7 @@
 ini=$logs/deployment.ini
 base=${MP_PORT:-13000}
 declare -a pids=()
+# Kills all processes and removes the scratch directory.
 stop_all() {
 	kill -KILL "${pids[@]}" 2>/dev/null
 	wait 2>/dev/null
--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,9 +1,10 @@
 #!/bin/bash
-# Measures the slopes behind docs/CAPACITY.md on one machine, with the
-# stand-ins: an entry's control cost (CPU, bytes, store calls, memory) against
-# the number of backend servers on the list and against the rate of
-# configuration changes, and its traffic CPU against the call rate. Prints
-# CSV rows "what,x,value,unit". Stops what it started.
+# Measures the slopes behind docs/CAPACITY.md on one machine, with a simulated
+# store and simulated servers: an instance's control cost (CPU, bytes, store
+# calls, memory) against the number of listed backend servers and against the
+# rate of configuration changes, and its traffic CPU against the call rate.
+# Prints CSV rows "what,x,value,unit". Every process started here is stopped
+# here, by pid.
 #   scripts/capacity.sh [SERVICES] > docs/capacity/slopes.csv
 set -u
 cd "$(dirname "$0")/.."
@@ -11,6 +12,7 @@
 services=${1:-62}
 dir=$(mktemp -d)
 ini=$dir/bench.ini
+# Stops all processes and removes the scratch directory.
 stop_all() {
 	local_stop
 	rm -rf "$dir"
@@ -30,23 +32,27 @@
 	printf 'base_port = 30000\nwork_ms = 1\n\n'
 } >"$ini"
 
-metric() { # name of one of the entry's metrics
+# Prints one metric of the instance.
+metric() { # name
 	curl -s -m 2 http://127.0.0.1:19101/admin/metrics | awk -v n="$1" '$1 == n {print $2}'
 }
-proc_cpu_us() { # utime+stime of a pid, in us
+# Prints the CPU time of a process, utime + stime, in us.
+process_cpu_us() { # pid
 	awk -v hz="$(getconf CLK_TCK)" '{print ($14 + $15) * 1000000 / hz}' "/proc/$1/stat"
 }
-rss_kib() { awk '/^VmRSS/{print $2}' "/proc/$entry_pid/status"; }
-window() { # label x seconds: control cost over a window
-	local a b name
-	declare -A a b
-	for name in control_cpu_us control_bytes_in control_bytes_out store_calls; do a[$name]=$(metric $name); done
+# Prints the instance's resident memory.
+resident_kib() { awk '/^VmRSS/{print $2}' "/proc/$entry_pid/status"; }
+# Prints the control cost per second over a period, and the memory at its end.
+measure_control() { # label, x, seconds
+	local before after name
+	declare -A before after
+	for name in control_cpu_us control_bytes_in control_bytes_out store_calls; do before[$name]=$(metric $name); done
 	sleep "$3"
 	for name in control_cpu_us control_bytes_in control_bytes_out store_calls; do
-		b[$name]=$(metric $name)
-		echo "$1_$name,$2,$(((b[$name] - a[$name]) / $3)),per_s"
+		after[$name]=$(metric $name)
+		echo "$1_$name,$2,$(((after[$name] - before[$name]) / $3)),per_s"
 	done
-	echo "$1_rss,$2,$(rss_kib),kib"
+	echo "$1_rss,$2,$(resident_kib),kib"
 }
 
 $bin store --deployment "$ini" 2>"$dir/store.log" &
@@ -59,35 +65,35 @@
 $bin ctl --deployment "$ini" patch --base 0 policy=load >/dev/null
 
 echo "what,x,value,unit"
-have=0
+listed=0
 for w in ${SERVERS:-0 100 400 790}; do
-	[ "$w" -gt $have ] && $bin fill --deployment "$ini" --index $have --version "$w"
-	have=$w
+	[ "$w" -gt $listed ] && $bin fill --deployment "$ini" --index $listed --version "$w"
+	listed=$w
 	sleep 2
-	window servers $w 8
+	measure_control servers $w 8
 done
-# Every server writes its entry every 1.5 s: 790 records in that time.
+# All servers renew their records about every 1.5 s, 790 records each time.
 (for k in 1 2 3 4 5 6; do
 	$bin fill --deployment "$ini" --index 0 --version 790
 	sleep 1.2
 done) &
-beater=$!
+renewer_pid=$!
 sleep 1
-window beating_servers 790 6
-wait $beater
+measure_control beating_servers 790 6
+wait $renewer_pid
 for period in ${PERIODS:-2 0.5}; do
 	(end=$((SECONDS + 9))
 	while [ $SECONDS -lt $end ]; do
 		$bin ctl --deployment "$ini" patch "k=$RANDOM" >/dev/null 2>&1
 		sleep $period
 	done) &
-	patcher=$!
+	patcher_pid=$!
 	sleep 1
-	window config_changes_per_s "$(awk "BEGIN{print 1/$period}")" 8
-	wait $patcher
+	measure_control config_changes_per_s "$(awk "BEGIN{print 1/$period}")" 8
+	wait $patcher_pid
 done
 
-# Traffic: 8 real servers in service t0, beside the 790 listed ones.
+# Traffic: 8 running servers in service t0, in addition to the 790 records.
 for i in 0 1 2 3 4 5 6 7; do
 	$bin backend --deployment "$ini" --service t0 --index $i --seed 5 2>>"$dir/backends.log" &
 	local_pids+=($!)
@@ -97,12 +103,12 @@
 	curl -s -m 2 -X POST "http://127.0.0.1:$((30000 + i))/stand/faults?quiet=1" >/dev/null
 done
 for rate in 250 1000 2000; do
-	p0=$(proc_cpu_us $entry_pid) c0=$(metric control_cpu_us)
+	cpu_before=$(process_cpu_us $entry_pid) control_before=$(metric control_cpu_us)
 	$bin load --deployment "$ini" --seconds 6 --rate $rate --concurrency 128 --seed $rate --service t0 >"$dir/load-$rate.txt" 2>&1
-	p1=$(proc_cpu_us $entry_pid) c1=$(metric control_cpu_us)
+	cpu_after=$(process_cpu_us $entry_pid) control_after=$(metric control_cpu_us)
 	calls=$(awk '/^calls [0-9]/{print $2}' "$dir/load-$rate.txt")
-	echo "traffic_cpu,$rate,$(((${p1%.*} - ${p0%.*} - (c1 - c0)) / 6)),us_per_s"
+	echo "traffic_cpu,$rate,$(((${cpu_after%.*} - ${cpu_before%.*} - (control_after - control_before)) / 6)),us_per_s"
 	echo "traffic_calls,$rate,$((calls / 6)),calls_per_s"
 	awk -v r=$rate '$2 == "t0" {print "traffic_done," r "," $4 ",calls"; print "traffic_p99_ms," r "," $9 ",ms"}' "$dir/load-$rate.txt"
-	echo "traffic_rss,$rate,$(rss_kib),kib"
+	echo "traffic_rss,$rate,$(resident_kib),kib"
 done
--- a/scripts/check-words.sh
+++ b/scripts/check-words.sh
@@ -1,17 +1,17 @@
 #!/bin/bash
-# The names of the users' wire stand in platform/, deploy/, the tests and the
-# stand-ins only: everything else uses the product's own words.
+# Checks that the names of the users' wire protocol occur only in platform/,
+# deploy/, the tests and stand/; everything else uses the project's own names.
 cd "$(dirname "$0")/.."
-words='Attempt-Id|Deadline-Remaining|Target-Instance|Response-Seal'
-words+='|Not-Executed|Store-Era|Instance-Id|Server-Load|Server-Limit|pathPrefix|trafficSplit'
-words+='|non_idempotent|maxAttempts|targetLatencyMs|configVersion|warmupLeftMs'
-words+='|endOffset|startRevision|log-(append|read|newest|join|commit|trim)'
-words+='|keyed\.(op|servers|status)|ttlS|[^_]resolution\?|probesPerS|drainMs'
-words+='|configApplyMs|retryBudgetRatio|fleetbench'
-found=$(git grep -nE "$words" -- '*.c' '*.h' ':!platform' ':!tests' ':!stand')
+names='Attempt-Id|Deadline-Remaining|Target-Instance|Response-Seal'
+names+='|Not-Executed|Store-Era|Instance-Id|Server-Load|Server-Limit|pathPrefix|trafficSplit'
+names+='|non_idempotent|maxAttempts|targetLatencyMs|configVersion|warmupLeftMs'
+names+='|endOffset|startRevision|log-(append|read|newest|join|commit|trim)'
+names+='|keyed\.(op|servers|status)|ttlS|[^_]resolution\?|probesPerS|drainMs'
+names+='|configApplyMs|retryBudgetRatio|fleetbench'
+found=$(git grep -nE "$names" -- '*.c' '*.h' ':!platform' ':!tests' ':!stand')
 if [ -n "$found" ]; then
 	echo "$found"
-	echo "words: the platform's wire names stand outside platform/"
+	echo "words: names of the platform's wire protocol outside platform/"
 	exit 1
 fi
 echo "words: clean"
--- a/scripts/compare-policies.sh
+++ b/scripts/compare-policies.sh
@@ -1,9 +1,10 @@
 #!/bin/bash
-# Runs the same seeded load against each routing policy in turn, on the
-# embedded default (both tenants, 59 servers with noise, cold start and
-# shedding, 3 entries), ROUNDS rounds in one run so that drift shows, and
-# writes docs/policy/compare.csv and, where gnuplot is installed,
-# docs/policy/p99.png.   scripts/compare-policies.sh [SECONDS] [RATE] [ROUNDS]
+# Runs the same seeded load against each routing policy in turn, on the built-in
+# default deployment (both tenants, 59 servers with noise, cold start and load
+# shedding, 3 instances). Repeats this for ROUNDS rounds, so that drift shows.
+# Writes docs/policy/compare.csv and, if gnuplot is installed,
+# docs/policy/p99.png.
+#   scripts/compare-policies.sh [SECONDS] [RATE] [ROUNDS]
 set -u
 cd "$(dirname "$0")/.."
 . scripts/local-lib.sh
--- a/scripts/extra-sends.sh
+++ b/scripts/extra-sends.sh
@@ -1,9 +1,11 @@
 #!/bin/bash
-# Adds up the sends beyond a request's first over the logs of all instances, and
-# prints for each service the window that holds most of them: how many, by cause,
-# of how many lifetimes, how many of these had begun in it, how many instances they
-# believed to live, and the requests that these lifetimes had got in that window
-# (from their lines, so somewhat fewer than there were).
+# Summarizes extra attempts, those beyond a request's first, from the logs of
+# all instances. Prints for each service the window with most of them: their
+# number, by cause; the number of lifetimes (one start of an instance each) that
+# sent them and how many of these began within the window; the number of
+# instances that they assumed to be running; and the requests that these
+# lifetimes got in the window. The last is somewhat too low, because it is
+# computed from the log lines of extra attempts.
 #   scripts/extra-sends.sh [WINDOW_S] < LINES
 window=${1:-10}
 grep -E 'ev=419 ' | sed -E 's/^.*[^a-z]ts=/ts=/' | sort -t= -k2,2n | awk -v window="$window" '
@@ -23,29 +25,29 @@
 	requests[s, k] = field("requests") + 0
 	instances[s, k] = field("instances") + 0
 }
-# The window of service s that ends with its line number k.
-function add_up(s, k,    i, n, l, by, first, last, young, least, most, out) {
+# Describes the window of service s that ends with its line number k.
+function describe_window(s, k,    i, n, l, by, first, last, started, min, max, out) {
 	for (i = k; i > 0 && at[s, k] - at[s, i] < window; i--) {
 		l = life[s, i]
 		if (!(l in last)) {
 			last[l] = requests[s, i]
 			n["lifetimes"]++
 			if (age[s, i] < at[s, i] - at[s, k] + window)
-				young++
+				started++
 		}
 		first[l] = requests[s, i]
 		by[cause[s, i]]++
-		if (!least || instances[s, i] < least)
-			least = instances[s, i]
-		if (instances[s, i] > most)
-			most = instances[s, i]
+		if (!min || instances[s, i] < min)
+			min = instances[s, i]
+		if (instances[s, i] > max)
+			max = instances[s, i]
 	}
 	for (l in last)
 		n["requests"] += last[l] - first[l]
 	out = sprintf("service=%s until_ts=%.3f extra=%d retry=%d second=%d rescue=%d " \
 		"lifetimes=%d began_within=%d instances=%d..%d requests=%d",
 		s, at[s, k], k - i, by["retry"], by["second"], by["rescue"],
-		n["lifetimes"], young, least, most, n["requests"])
+		n["lifetimes"], started, min, max, n["requests"])
 	return out
 }
 END {
@@ -60,6 +62,6 @@
 				end = k
 			}
 		}
-		print add_up(s, end)
+		print describe_window(s, end)
 	}
 }'
--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs the Debian packages the build and the tests need; the same list
-# stands in .ci/run.
+# Installs the Debian packages that the build and the tests need. Keep the list
+# in step with .ci/run.
 set -e
 SUDO=
 [ "$(id -u)" = 0 ] || SUDO=sudo
--- a/scripts/limited-sends.sh
+++ b/scripts/limited-sends.sh
@@ -1,10 +1,11 @@
 #!/bin/bash
-# Adds up what servers that name a limit were sent, over the logs of all instances,
-# and prints for each the window that holds most: how many sends, of how many
-# lifetimes, by cause, the limit, and what the rule allows.
+# Summarizes the attempts sent to servers that announce a limit, from the logs
+# of all instances. Prints for each server the window that is furthest above its
+# limit: the number of attempts, by cause; the number of lifetimes (one start of
+# an instance each) that sent them; the limit, and what the rule allows.
 #   scripts/limited-sends.sh [SETTLE_S [WINDOW_S]] < LINES
-# Sends of the first SETTLE_S (3) after the first line that names the limit don't
-# count, as the rule has it.
+# As in the rule, attempts in the first SETTLE_S seconds (3) after the first log
+# line with the limit don't count.
 settle=${1:-3}
 window=${2:-4}
 grep -E 'ev=34[013] ' | sed -E 's/^.*[^a-z]ts=/ts=/' | sort -t= -k2,2n |
--- a/scripts/local-lib.sh
+++ b/scripts/local-lib.sh
@@ -1,12 +1,15 @@
-# Sourced by the local scripts: starts every role of a deployment file on
-# loopback as separate processes and stops them, by pid, on exit.
-#   local_start INI LOGDIR     (sets local_pids)
+# Sourced by the scripts that run a deployment on loopback. Starts every role of
+# a deployment file as a separate process and stops these by pid.
+#   local_start INI LOGDIR   starts the processes, adds their pids to local_pids
+#   local_stop               stops the processes in local_pids
 bin=${MP_BIN:-target/mimosapitch}
 local_pids=()
+# Terminates the processes and waits for them.
 local_stop() {
 	for p in "${local_pids[@]}"; do kill -TERM "$p" 2>/dev/null; done
 	for p in "${local_pids[@]}"; do wait "$p" 2>/dev/null; done
 }
+# Starts the store, the backend servers and the instances of a deployment file.
 local_start() {
 	local ini=$1 logs=$2 svc n i e
 	$bin check-deployment --deployment "$ini" || return 78
--- a/scripts/run-local.sh
+++ b/scripts/run-local.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# Starts every role on loopback as separate processes (the store stand-in,
-# each service's backend servers, the entry instances), patches the
-# configuration, drives both tenants' load through them, and stops what it
-# started.   scripts/run-local.sh [DEPLOYMENT.ini] [load options ...]
+# Runs a deployment on loopback as separate processes: the simulated store, each
+# service's backend servers and the entry instances. Patches the configuration,
+# runs the load of both tenants and stops the processes.
+#   scripts/run-local.sh [DEPLOYMENT.ini] [load options ...]
 set -u
 cd "$(dirname "$0")/.."
 . scripts/local-lib.sh
